--- a/src/cartdale/daemon/relaying.py
+++ b/src/cartdale/daemon/relaying.py
@@ -3,8 +3,8 @@
 import trio
 
 from cartdale.clock import Clock
+from cartdale.fleet.advisories import AdvisoryRecorder
 from cartdale.fleet.driver import Fleet
-from cartdale.fleet.notices import Notices
 from cartdale.platform.settings import Bounds
 from cartdale.platform.upstreams import PlatformUpstreams
 from cartdale.relay.admission import Admission
@@ -23,7 +23,7 @@
     def __init__(
         self, fleet: Fleet, clock: Clock, bounds: Bounds, seed: int
     ) -> None:
-        self.upstreams = PlatformUpstreams(Notices(fleet, clock))
+        self.upstreams = PlatformUpstreams(AdvisoryRecorder(fleet, clock))
         self.budget = RepeatBudget(
             bounds.retry_ratio, bounds.retry_slack, bounds.retry_window
         )
--- a/src/cartdale/fleet/notices.py
+++ b/src/cartdale/fleet/advisories.py
@@ -6,16 +6,16 @@
 from cartdale.fleet.driver import Fleet
 from cartdale.fleet.rate_limits import RateLimit
 from cartdale.fleet.types import (
+    Advisory,
     AskedForRest,
     Lifecycle,
     NamedLimit,
-    Notice,
     SaidLeaving,
     Upstream,
 )
 
 
-class Notices:
+class AdvisoryRecorder:
     """Record notices, and hold back requests that they forbid.
 
     :param fleet: holds what is believed of upstreams.
@@ -30,7 +30,11 @@
         return self._clock.now()
 
     def record(
-        self, upstream: str, notice: Notice, request_id: str, asked_at: Millis
+        self,
+        upstream: str,
+        advisory: Advisory,
+        request_id: str,
+        asked_at: Millis,
     ) -> None:
         """Record what an upstream says beside an answer, as its head comes.
 
@@ -40,27 +44,27 @@
         before = self._fleet.find(upstream)
         if before is None:
             return
-        if notice.leaving:
+        if advisory.leaving:
             self._fleet.tell(SaidLeaving(upstream))
-        if notice.rest:
-            self._fleet.tell(AskedForRest(upstream, notice.rest))
-        self._take_limit(before, notice, asked_at)
+        if advisory.rest:
+            self._fleet.tell(AskedForRest(upstream, advisory.rest))
+        self._take_limit(before, advisory, asked_at)
         after = self._fleet.find(upstream)
         if after is None or _is_same(before, after):
             return
-        self._fleet.departures_heard += notice.leaving
+        self._fleet.departures_heard += advisory.leaving
         self._fleet.announce()
         logger.info(
             'upstream says',
             upstream=upstream,
             request=request_id,
-            leaving=notice.leaving,
-            rest=notice.rest,
+            leaving=advisory.leaving,
+            rest=advisory.rest,
             limit=after.rate_limit.per_second,
             limit_before=before.rate_limit.per_second,
         )
 
-    def withholds(self, upstream: str, *, resumes: bool) -> bool:
+    def must_withhold(self, upstream: str, *, resumes: bool) -> bool:
         """Tell whether a request may not be sent to an upstream any more.
 
         Asked when it is about to be sent, some time after it was placed: a
@@ -78,11 +82,11 @@
         return not self._fleet.spend(known, resumes=resumes)
 
     def _take_limit(
-        self, known: Upstream, notice: Notice, asked_at: Millis
+        self, known: Upstream, advisory: Advisory, asked_at: Millis
     ) -> None:
-        if notice.limit is None:
+        if advisory.limit is None:
             return
-        named = RateLimit(notice.limit, asked_at, self._clock.now())
+        named = RateLimit(advisory.limit, asked_at, self._clock.now())
         upstream, book = known.entry.upstream, self._fleet.limits.book
         told = named.limited or known.rate_limit.limited or upstream in book
         # Nearly all answers name none where there was none.
--- a/src/cartdale/fleet/types.py
+++ b/src/cartdale/fleet/types.py
@@ -74,7 +74,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Notice:
+class Advisory:
     """Hold what an upstream says of itself beside an answer.
 
     :param leaving: whether it takes no new work any more.
@@ -88,7 +88,7 @@
     rest: Millis = 0
     limit: float | None = None
 
-    def without_absence(self) -> 'Notice':
+    def without_absence(self) -> 'Advisory':
         """Return what it tells where a missing limit does not tell of none."""
         return replace(self, limit=None) if self.limit == inf else self
 
--- a/src/cartdale/platform/exchanges.py
+++ b/src/cartdale/platform/exchanges.py
@@ -8,7 +8,7 @@
 from returns.result import Failure, Result, Success
 
 from cartdale.fleet.rate_limits import parse_limit
-from cartdale.fleet.types import EngineReport, Notice, RunReport
+from cartdale.fleet.types import Advisory, EngineReport, RunReport
 from cartdale.formatting import format_error
 from cartdale.platform.callers import CONNECTION_HEADERS
 from cartdale.platform.names import (
@@ -114,13 +114,13 @@
 
 
 def read_head(
-    call: UpstreamCall, response: httpcore.Response, notice: Notice
+    call: UpstreamCall, response: httpcore.Response, advisory: Advisory
 ) -> Result[OpenedAnswer, SendFailure]:
     """Read the head of an answer.
 
     One to another request, or a success without its seal, is no answer.
 
-    :param notice: what the upstream says of itself beside it.
+    :param advisory: what the upstream says of itself beside it.
     """
     named = {name.lower(): value for name, value in response.headers}
     standing = _judge(response.status, named)
@@ -139,23 +139,23 @@
             standing=standing,
             chunks=_read_chunks(response),
             framed=not _FRAMES.isdisjoint(named),
-            rest=notice.rest,
+            rest=advisory.rest,
         )
     )
 
 
-def read_notice(response: httpcore.Response) -> Notice:
+def read_advisory(response: httpcore.Response) -> Advisory:
     """Read what an upstream says of itself beside an answer.
 
     Another upstream at its address says nothing of it.
     """
     if response.status == HTTPStatus.MISDIRECTED_REQUEST:
-        return Notice()
+        return Advisory()
     named = {name.lower(): value for name, value in response.headers}
     asked = named.get(HEADER_RETRY_AFTER.encode(), b'')
     rests = response.status == HTTPStatus.SERVICE_UNAVAILABLE
     limit_name = HEADER_LIMIT.encode()
-    return Notice(
+    return Advisory(
         leaving=named.get(HEADER_LEAVING.encode(), b'').strip() == b'1',
         rest=read_rest(asked) if rests else 0,
         limit=parse_limit(
@@ -202,7 +202,7 @@
             total_tokens=stored.kv_total,
             leaves_in=None if leaves is None else int(leaves),
             leaving=stored.state == WORD_DRAINING
-            or read_notice(response).leaving,
+            or read_advisory(response).leaving,
             runs=tuple(RunReport(*row) for row in stored.runs),
             born=stored.born,
         )
--- a/src/cartdale/platform/upstreams.py
+++ b/src/cartdale/platform/upstreams.py
@@ -16,14 +16,14 @@
 from returns.result import Failure, Result, Success
 
 from cartdale.clock import Millis
-from cartdale.fleet.notices import Notices
+from cartdale.fleet.advisories import AdvisoryRecorder
 from cartdale.fleet.types import EngineReport, UpstreamEntry
 from cartdale.formatting import format_error
 from cartdale.platform.exchanges import (
     CopyRequest,
+    read_advisory,
     read_copy,
     read_head,
-    read_notice,
     read_report,
     write_headers,
 )
@@ -62,8 +62,10 @@
 class _SendGuard:
     """Stop a request just before it is sent, if it must not be any more."""
 
-    def __init__(self, notices: Notices, call: UpstreamCall) -> None:
-        self._notices = notices
+    def __init__(
+        self, advisories: AdvisoryRecorder, call: UpstreamCall
+    ) -> None:
+        self._advisories = advisories
         self._call = call
         #: When it was sent, in monotonic milliseconds.
         self.sent_at: Millis = 0
@@ -73,21 +75,21 @@
         if event != _BEFORE_SENDING:
             return
         resumes = self._call.resume is not None
-        if self._notices.withholds(
+        if self._advisories.must_withhold(
             self._call.upstream.upstream, resumes=resumes
         ):
             raise _WithheldError
-        self.sent_at = self._notices.now()
+        self.sent_at = self._advisories.now()
 
 
 class PlatformUpstreams:
     """Reach upstreams over HTTP.
 
-    :param notices: takes what upstreams say of themselves.
+    :param advisories: takes what upstreams say of themselves.
     """
 
-    def __init__(self, notices: Notices) -> None:
-        self._notices = notices
+    def __init__(self, advisories: AdvisoryRecorder) -> None:
+        self._advisories = advisories
         self._pool = make_pool(most_kept=0)
 
     @asynccontextmanager
@@ -96,7 +98,7 @@
     ) -> AsyncIterator[Result[OpenedAnswer, SendFailure]]:
         """Send a request and read the head of its answer."""
         request = call.routed.request
-        guard = _SendGuard(self._notices, call)
+        guard = _SendGuard(self._advisories, call)
         outgoing = httpcore.Request(
             request.method,
             _make_url(call.upstream.address, request.target),
@@ -115,13 +117,13 @@
         except CORE_BROKEN as late_error:
             yield Failure(LinkBroke(format_error(late_error)))
             return
-        notice = read_notice(response)
-        answer = read_head(call, response, notice)
+        advisory = read_advisory(response)
+        answer = read_head(call, response, advisory)
         if not is_successful(answer):
             # It may be another's answer, which says nothing by its silence.
-            notice = notice.without_absence()
-        self._notices.record(
-            call.upstream.upstream, notice, request.request_id, guard.sent_at
+            advisory = advisory.without_absence()
+        self._advisories.record(
+            call.upstream.upstream, advisory, request.request_id, guard.sent_at
         )
         try:
             yield answer
@@ -170,7 +172,7 @@
         """
         plain = spec is not None and spec.engine is None
         path = spec.health_path if spec is not None and plain else PATH_REPORT
-        asked_at = self._notices.now()
+        asked_at = self._advisories.now()
         answer = await self._ask(
             'GET', upstream.address, path, b'', _REPORT_TIMEOUT
         )
@@ -192,8 +194,8 @@
         named = {name.lower(): value for name, value in response.headers}
         if named.get(HEADER_INSTANCE.encode()) == upstream.encode():
             # Whether these answers name limits at all is not known.
-            notice = read_notice(response).without_absence()
-            self._notices.record(upstream, notice, '', asked_at)
+            advisory = read_advisory(response).without_absence()
+            self._advisories.record(upstream, advisory, '', asked_at)
 
     async def _ask(
         self,
--- a/tests/fault_soak/mutants.py
+++ b/tests/fault_soak/mutants.py
@@ -15,10 +15,10 @@
 sys.path.insert(0, str(Path(__file__).resolve().parents[2] / 'src'))
 
 from cartdale.fleet import (  # noqa: E402
+    advisories,
     candidates,
     driver,
     limit_gate,
-    notices,
     statements,
 )
 from cartdale.fleet.division import Part  # noqa: E402
@@ -83,29 +83,33 @@
 
 def ignore_word() -> None:
     """Don't take it when an upstream says in an answer that it leaves."""
-    honest = notices.Notices.record
+    honest = advisories.AdvisoryRecorder.record
 
-    def record(self, upstream, notice, request_id, asked_at):
+    def record(self, upstream, advisory, request_id, asked_at):
         honest(
-            self, upstream, replace(notice, leaving=False), request_id, asked_at
+            self,
+            upstream,
+            replace(advisory, leaving=False),
+            request_id,
+            asked_at,
         )
 
-    notices.Notices.record = record
+    advisories.AdvisoryRecorder.record = record
 
 
 def ignore_rest() -> None:
     """Don't take it when an upstream wants rest."""
-    honest = notices.Notices.record
+    honest = advisories.AdvisoryRecorder.record
 
-    def record(self, upstream, notice, request_id, asked_at):
-        honest(self, upstream, replace(notice, rest=0), request_id, asked_at)
+    def record(self, upstream, advisory, request_id, asked_at):
+        honest(self, upstream, replace(advisory, rest=0), request_id, asked_at)
 
-    notices.Notices.record = record
+    advisories.AdvisoryRecorder.record = record
 
 
 def ignore_limit() -> None:
     """Don't take it when an upstream names a rate limit."""
-    notices.Notices._take_limit = look_away
+    advisories.AdvisoryRecorder._take_limit = look_away
 
 
 def keep_limit() -> None:
--- a/tests/load/test_cold_upstreams.py
+++ b/tests/load/test_cold_upstreams.py
@@ -14,12 +14,12 @@
 import pytest
 
 from cartdale.clock import VirtualClock
+from cartdale.fleet.advisories import AdvisoryRecorder
 from cartdale.fleet.choose import Need
 from cartdale.fleet.cold import ColdBound, ColdGate, find_quota
 from cartdale.fleet.division import Sharers
 from cartdale.fleet.driver import Fleet
 from cartdale.fleet.evacuation import Evacuation
-from cartdale.fleet.notices import Notices
 from cartdale.fleet.types import (
     EntriesListed,
     EntryWritten,
@@ -239,9 +239,10 @@
     placed = choose_many(fleet)['cold']
     clock.advance(1000)
     placed += choose_many(fleet)['cold']
-    notices = Notices(fleet, clock)
+    advisories = AdvisoryRecorder(fleet, clock)
     sent = sum(
-        not notices.withholds('cold', resumes=False) for _ in range(placed)
+        not advisories.must_withhold('cold', resumes=False)
+        for _ in range(placed)
     )
     assert placed > MOST
     assert MOST / 2 <= sent <= MOST
--- a/tests/test_heard_departures.py
+++ b/tests/test_heard_departures.py
@@ -15,17 +15,17 @@
 
 from cartdale.clock import MINUTE_MS, SystemClock, VirtualClock
 from cartdale.codec import decode_binary
+from cartdale.fleet.advisories import AdvisoryRecorder
 from cartdale.fleet.decide import decide
 from cartdale.fleet.departures import LEAVING_KEPT_MS, SAID_LEAVING_KEPT_MS
 from cartdale.fleet.driver import Fleet
-from cartdale.fleet.notices import Notices
 from cartdale.fleet.types import (
+    Advisory,
     BeganLeaving,
     EntriesListed,
     EntryRemoved,
     EntryWritten,
     Lifecycle,
-    Notice,
     Restarted,
     SaidLeaving,
     TimePassed,
@@ -168,7 +168,7 @@
     writer = NewsWriter(PEER, teller, clock, bool, bool)
     seal = Seal((b'k' * 32,))
     writer.write(seal)
-    Notices(teller, clock).record('a', Notice(leaving=True), 'r', 0)
+    AdvisoryRecorder(teller, clock).record('a', Advisory(leaving=True), 'r', 0)
     assert writer.has_new()
     envelope = seal.open(writer.write(seal), clock.wall())
     news = decode_binary(bytes(envelope.body), LoadNews)
@@ -219,12 +219,12 @@
     async with open_platform(plains=2) as stage:
         leaving = stage.plains[0]
         fleet = stage.runtimes[0].fleet
-        notices = Notices(fleet, SystemClock())
+        advisories = AdvisoryRecorder(fleet, SystemClock())
         hidden = {each.entry.upstream for each in list_live(fleet)}
         assert hidden == {'plain-0', 'plain-1', 'engine-0'}
         call = make_call_to(fleet, 'plain-0')
-        notices.record('plain-0', Notice(leaving=True), 'r', 0)
-        async with PlatformUpstreams(notices).open(call) as opened:
+        advisories.record('plain-0', Advisory(leaving=True), 'r', 0)
+        async with PlatformUpstreams(advisories).open(call) as opened:
             assert opened == Failure(SendWithheld())
         assert not leaving.arrivals
 
--- a/tests/test_limit_news.py
+++ b/tests/test_limit_news.py
@@ -7,16 +7,16 @@
 
 from cartdale.clock import VirtualClock
 from cartdale.codec import decode_binary
+from cartdale.fleet.advisories import AdvisoryRecorder
 from cartdale.fleet.decide import decide
 from cartdale.fleet.driver import Fleet
-from cartdale.fleet.notices import Notices
 from cartdale.fleet.rate_limits import LIMIT_KEPT_MS, RateLimit
 from cartdale.fleet.types import (
+    Advisory,
     EntryRemoved,
     EntryWritten,
     LimitChanged,
     NamedLimit,
-    Notice,
     TimePassed,
 )
 from cartdale.news.decide import ALIVE_MS
@@ -56,7 +56,7 @@
     clock = VirtualClock(10_000)
     teller = Fleet(clock, 'west', 1)
     teller.tell(EntryWritten(make_entry('a', born=1)))
-    notices = Notices(teller, clock)
+    advisories = AdvisoryRecorder(teller, clock)
     writer = NewsWriter(PEERS[1], teller, clock, bool, bool)
     seal = Seal((b'k' * 32,))
     known = make_fleet('a', born=1)
@@ -64,7 +64,7 @@
         writer.write(seal)
         asked_at = clock.now()
         clock.advance(40)
-        notices.record('a', Notice(limit=limit), 'r', asked_at)
+        advisories.record('a', Advisory(limit=limit), 'r', asked_at)
         assert writer.has_new()
         envelope = seal.open(writer.write(seal), clock.wall())
         news = decode_binary(bytes(envelope.body), LoadNews)
@@ -201,14 +201,14 @@
     clock = VirtualClock(10_000)
     teller = Fleet(clock, 'west', 1)
     teller.tell(EntryWritten(make_entry('a')))
-    notices = Notices(teller, clock)
+    advisories = AdvisoryRecorder(teller, clock)
     writer = NewsWriter(PEERS[1], teller, clock, bool, bool)
     known = make_fleet('a')
     began = clock.now()
     for limit in (3.1, *[inf] * 60):
         asked_at = clock.now()
         clock.advance(50)
-        notices.record('a', Notice(limit=limit), 'r', asked_at)
+        advisories.record('a', Advisory(limit=limit), 'r', asked_at)
         for told in writer.list_limits().values():
             named = NamedLimit('a', read_limit(told, clock.now()))
             known, _ = decide(known, named, clock.now())
@@ -217,7 +217,7 @@
     assert clock.now() - began <= LATER
     # It is not told for ever.
     clock.advance(4000)
-    notices.record('a', Notice(limit=inf), 'r', clock.now() - 10)
+    advisories.record('a', Advisory(limit=inf), 'r', clock.now() - 10)
     assert not writer.list_limits()
 
 
--- a/tests/test_notices.py
+++ b/tests/test_notices.py
@@ -6,8 +6,8 @@
 import pytest
 
 from cartdale.clock import HOUR_MS
-from cartdale.fleet.types import Notice
-from cartdale.platform.exchanges import read_notice
+from cartdale.fleet.types import Advisory
+from cartdale.platform.exchanges import read_advisory
 
 
 def answer(status: int, **headers: str) -> httpcore.Response:
@@ -20,14 +20,14 @@
 
 @pytest.mark.parametrize('status', [200, 404, 500, 503])
 def test_any_answer_may_say_that_its_upstream_leaves(status: int) -> None:
-    assert read_notice(answer(status, Server_Leaving='1')).leaving
-    assert not read_notice(answer(status, Server_Leaving='0')).leaving
-    assert not read_notice(answer(status)).leaving
+    assert read_advisory(answer(status, Server_Leaving='1')).leaving
+    assert not read_advisory(answer(status, Server_Leaving='0')).leaving
+    assert not read_advisory(answer(status)).leaving
 
 
 def test_another_upstream_at_the_address_says_nothing_of_this_one() -> None:
     other = answer(421, Server_Leaving='1', Retry_After='3')
-    assert read_notice(other) == Notice()
+    assert read_advisory(other) == Advisory()
 
 
 @pytest.mark.parametrize(
@@ -46,12 +46,12 @@
     ],
 )
 def test_rest_is_read_in_seconds(asked: str, rest: int) -> None:
-    assert read_notice(answer(503, Retry_After=asked)).rest == rest
+    assert read_advisory(answer(503, Retry_After=asked)).rest == rest
 
 
 def test_only_who_turns_a_request_away_for_now_asks_for_rest() -> None:
-    assert not read_notice(answer(429, Retry_After='3')).rest
-    assert not read_notice(answer(500, Retry_After='3')).rest
+    assert not read_advisory(answer(429, Retry_After='3')).rest
+    assert not read_advisory(answer(500, Retry_After='3')).rest
 
 
 @pytest.mark.parametrize(
@@ -78,13 +78,13 @@
 ) -> None:
     headers = [(b'Server-Limit', text.encode()) for text in named]
     response = httpcore.Response(200, headers=headers)
-    assert read_notice(response).limit == limit
+    assert read_advisory(response).limit == limit
 
 
 @pytest.mark.parametrize('status', [200, 404, 500, 503])
 def test_any_answer_may_name_a_limit(status: int) -> None:
-    assert read_notice(answer(status, Server_Limit='3.1')).limit == 3.1
+    assert read_advisory(answer(status, Server_Limit='3.1')).limit == 3.1
 
 
 def test_another_upstream_at_the_address_does_not_tell_a_limit() -> None:
-    assert read_notice(answer(421, Server_Limit='3.1')).limit is None
+    assert read_advisory(answer(421, Server_Limit='3.1')).limit is None
--- a/tests/test_rests.py
+++ b/tests/test_rests.py
@@ -19,16 +19,16 @@
 from returns.result import Failure
 
 from cartdale.clock import SystemClock, VirtualClock
+from cartdale.fleet.advisories import AdvisoryRecorder
 from cartdale.fleet.candidates import count_unavailable
 from cartdale.fleet.choose import Need
 from cartdale.fleet.decide import decide
 from cartdale.fleet.driver import Fleet
-from cartdale.fleet.notices import Notices
 from cartdale.fleet.types import (
+    Advisory,
     AskedForRest,
     EntryWritten,
     FleetState,
-    Notice,
     RequestEnded,
     SaidLeaving,
 )
@@ -119,14 +119,14 @@
     """It was placed before its upstream asked for rest."""
     async with open_platform(plains=1) as stage:
         fleet = stage.runtimes[0].fleet
-        notices = Notices(fleet, SystemClock())
+        advisories = AdvisoryRecorder(fleet, SystemClock())
         call = make_call_to(fleet, 'plain-0')
-        notices.record('plain-0', Notice(rest=500), 'r', 0)
-        async with PlatformUpstreams(notices).open(call) as opened:
+        advisories.record('plain-0', Advisory(rest=500), 'r', 0)
+        async with PlatformUpstreams(advisories).open(call) as opened:
             assert opened == Failure(SendWithheld())
         assert not stage.plains[0].arrivals
         await trio.sleep(0.5)
-        async with PlatformUpstreams(notices).open(call) as opened:
+        async with PlatformUpstreams(advisories).open(call) as opened:
             assert opened.unwrap().status == 200
 
 
--- a/tests/test_upstream_limits.py
+++ b/tests/test_upstream_limits.py
@@ -14,9 +14,9 @@
 from returns.result import Failure
 
 from cartdale.clock import SystemClock
+from cartdale.fleet.advisories import AdvisoryRecorder
 from cartdale.fleet.driver import Fleet
-from cartdale.fleet.notices import Notices
-from cartdale.fleet.types import Notice
+from cartdale.fleet.types import Advisory
 from cartdale.platform.upstreams import PlatformUpstreams
 from cartdale.relay.types import SendWithheld
 from cartdale_standins.platform_worker import PlatformWorker
@@ -100,15 +100,15 @@
     """Its permit was kept while its connection came up, and has lapsed."""
     async with open_platform(engines=0, plains=1) as stage:
         fleet = stage.runtimes[0].fleet
-        notices = Notices(fleet, SystemClock())
-        named = Notice(limit=1)
-        notices.record('plain-0', named, 'r', SystemClock().now())
+        advisories = AdvisoryRecorder(fleet, SystemClock())
+        named = Advisory(limit=1)
+        advisories.record('plain-0', named, 'r', SystemClock().now())
         await until(lambda: has_permit(fleet))
         call = make_call_to(fleet, 'plain-0')
-        upstreams = PlatformUpstreams(notices)
+        upstreams = PlatformUpstreams(advisories)
         async with upstreams.open(call) as opened:
             assert opened.unwrap().status == 200
-        notices.record('plain-0', named, 'r', SystemClock().now())
+        advisories.record('plain-0', named, 'r', SystemClock().now())
         async with upstreams.open(call) as opened:
             assert opened == Failure(SendWithheld())
         assert len(stage.plains[0].arrivals) == 1
