--- a/src/cartdale/callers/plain.py
+++ b/src/cartdale/callers/plain.py
@@ -32,8 +32,8 @@
 from cartdale.quarantine.driver import Quarantine
 from cartdale.quarantine.identity import Identity, identify
 from cartdale.quarantine.watching import RequestWatch
+from cartdale.retries.backoffs import BackoffTracker
 from cartdale.retries.decide import RetryBudget
-from cartdale.retries.rests import Rests
 
 _RETRY_AFTER: Millis = 2000
 
@@ -63,7 +63,7 @@
     generator: Random
     quarantine: Quarantine
     clock: Clock
-    rests: Rests
+    backoffs: BackoffTracker
 
 
 @dataclass(frozen=True, slots=True)
@@ -125,8 +125,10 @@
 
     def _refuse(self, service: Service) -> Problem:
         """Say when to come back: not before the first rest ends."""
-        rests = [self._ports.rests.left(name) for name in service.upstreams]
-        wait = max(_RETRY_AFTER, min(rests, default=0))
+        backoffs = [
+            self._ports.backoffs.remaining(name) for name in service.upstreams
+        ]
+        wait = max(_RETRY_AFTER, min(backoffs, default=0))
         return NotRun(NotRunReason.REFUSED, wait)
 
     async def _attempt_all(
@@ -163,7 +165,7 @@
         upstream = self._ports.upstream_of(name)
         if upstream is None or upstream.draining:
             return _Attempted(None, sent=False)
-        if self._ports.rests.left(name):
+        if self._ports.backoffs.remaining(name):
             return _Attempted(None, sent=False)
         self._ports.budget.earn(call.caller.name, name)
         fence = grant.fence if upstream.checks_fence else 0
@@ -179,8 +181,8 @@
                 if await service.is_gone():
                     watch.note_lost(name)
                 return _Attempted(None, sent=True)
-            case Failure(EngineRefused(rest=rest)):
-                self._ports.rests.note(name, rest)
+            case Failure(EngineRefused(backoff=backoff)):
+                self._ports.backoffs.note(name, backoff)
         return _Attempted(None, sent=False)
 
     def _order(self, service: Service) -> list[str]:
--- a/src/cartdale/daemon/runtime.py
+++ b/src/cartdale/daemon/runtime.py
@@ -32,8 +32,8 @@
 from cartdale.plans.confirm import Confirmer
 from cartdale.reports.recorder import Recorder
 from cartdale.reports.types import Report
+from cartdale.retries.backoffs import BackoffTracker
 from cartdale.retries.decide import RetryBudget
-from cartdale.retries.rests import Rests
 from cartdale.routing.types import LeaveBegan
 from cartdale.settings.load import Keys, load_keys
 from cartdale.settings.types import Settings
@@ -174,7 +174,7 @@
     def _make_callers(self, nursery: trio.Nursery) -> CallerApp:
         budget = RetryBudget()
         keys = KeyGuard(self._group.claimer)
-        rests = Rests(self._clock)
+        backoffs = BackoffTracker(self._clock)
         delivery = DeliveryPorts(
             clock=self._clock,
             placer=self._group.placer,
@@ -184,7 +184,7 @@
             budget=budget,
             recorder=self._recorder,
             quarantine=self._group.quarantine,
-            rests=rests,
+            backoffs=backoffs,
         )
         plain = PlainPorts(
             upstream_of=self._find_upstream,
@@ -194,7 +194,7 @@
             generator=random.Random(self._seed),
             quarantine=self._group.quarantine,
             clock=self._clock,
-            rests=rests,
+            backoffs=backoffs,
         )
         return CallerApp(
             CallerPorts(
--- a/src/cartdale/engines/http.py
+++ b/src/cartdale/engines/http.py
@@ -28,7 +28,7 @@
 )
 from cartdale.formatting import format_error
 from cartdale.model.types import LoadReport
-from cartdale.retries.rests import read_rest
+from cartdale.retries.backoffs import parse_retry_after
 
 HEADER_GENERATION = 'X-Request-Id'
 HEADER_PRIORITY = 'X-Priority'
@@ -183,17 +183,19 @@
     if response.status_code == HTTPStatus.NOT_FOUND:
         return Failure(GenerationUnknown())
     if response.status_code in _REFUSALS:
-        return Failure(EngineRefused(response.status_code, find_rest(response)))
+        return Failure(
+            EngineRefused(response.status_code, find_backoff(response))
+        )
     if response.is_error:
         return Failure(LinkLost(f'status {response.status_code}'))
     return Success(response)
 
 
-def find_rest(response: httpx.Response) -> Millis:
+def find_backoff(response: httpx.Response) -> Millis:
     """Return how long who turned a request away wants no more of them."""
     if response.status_code != HTTPStatus.SERVICE_UNAVAILABLE:
         return 0
-    return read_rest(response.headers.get('retry-after', ''))
+    return parse_retry_after(response.headers.get('retry-after', ''))
 
 
 async def _read_events(response: httpx.Response) -> Events:
--- a/src/cartdale/engines/plain.py
+++ b/src/cartdale/engines/plain.py
@@ -11,7 +11,7 @@
 
 from cartdale.client_transport import NOT_SENT
 from cartdale.clock import SECOND_MS, Millis, seconds
-from cartdale.engines.http import find_rest
+from cartdale.engines.http import find_backoff
 from cartdale.engines.types import (
     EngineFailure,
     EngineRefused,
@@ -94,8 +94,8 @@
         except httpx.HTTPError as late_error:
             return Failure(LinkLost(format_error(late_error)))
         if response.status_code in _REFUSALS:
-            rest = find_rest(response)
-            return Failure(EngineRefused(response.status_code, rest))
+            backoff = find_backoff(response)
+            return Failure(EngineRefused(response.status_code, backoff))
         return Success(
             PlainAnswer(
                 response.status_code,
--- a/src/cartdale/engines/types.py
+++ b/src/cartdale/engines/types.py
@@ -46,11 +46,11 @@
 class EngineRefused:
     """The engine refused before running anything.
 
-    :param rest: how long it wants no requests; 0 when it does not say.
+    :param backoff: how long it wants no requests; 0 when it does not say.
     """
 
     status: int
-    rest: Millis = 0
+    backoff: Millis = 0
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/cartdale/fleet/advisories.py
+++ b/src/cartdale/fleet/advisories.py
@@ -7,7 +7,7 @@
 from cartdale.fleet.rate_limits import RateLimit
 from cartdale.fleet.types import (
     Advisory,
-    AskedForRest,
+    BackoffRequested,
     Lifecycle,
     NamedLimit,
     SaidLeaving,
@@ -46,8 +46,8 @@
             return
         if advisory.leaving:
             self._fleet.tell(SaidLeaving(upstream))
-        if advisory.rest:
-            self._fleet.tell(AskedForRest(upstream, advisory.rest))
+        if advisory.backoff:
+            self._fleet.tell(BackoffRequested(upstream, advisory.backoff))
         self._take_limit(before, advisory, asked_at)
         after = self._fleet.find(upstream)
         if after is None or _is_same(before, after):
@@ -59,7 +59,7 @@
             upstream=upstream,
             request=request_id,
             leaving=advisory.leaving,
-            rest=advisory.rest,
+            rest=advisory.backoff,
             limit=after.rate_limit.per_second,
             limit_before=before.rate_limit.per_second,
         )
@@ -75,7 +75,7 @@
             work, and would be lost: one that leaves gets it all the same.
         """
         known = self._fleet.find(upstream)
-        if known is None or known.rests_until > self._clock.now():
+        if known is None or known.backoff_until > self._clock.now():
             return True
         if known.lifecycle is Lifecycle.LEAVING and not resumes:
             return True
@@ -102,7 +102,7 @@
     limits = before.rate_limit, after.rate_limit
     same_limit = limits[0].per_second == limits[1].per_second
     others = (
-        (each.lifecycle, each.told_here, each.rests_until)
+        (each.lifecycle, each.told_here, each.backoff_until)
         for each in (before, after)
     )
     return same_limit and len(set(others)) == 1
--- a/src/cartdale/fleet/candidates.py
+++ b/src/cartdale/fleet/candidates.py
@@ -56,7 +56,7 @@
     candidates = list_candidates(state, need)
     if not candidates:
         return _find_absence(state, need)
-    awake = [each for each in candidates if each.rests_until <= now]
+    awake = [each for each in candidates if each.backoff_until <= now]
     if not awake:
         return Shortage.RESTING
     open_to_it = [each for each in awake if each.entry.upstream not in spent]
@@ -96,7 +96,7 @@
     """Return how many upstreams leave, asked for rest, and name a limit."""
     upstreams = state.upstreams_by_id.values()
     leaving = sum(each.lifecycle is Lifecycle.LEAVING for each in upstreams)
-    resting = sum(each.rests_until > now for each in upstreams)
+    resting = sum(each.backoff_until > now for each in upstreams)
     limited = sum(each.rate_limit.limited for each in upstreams)
     return leaving, resting, limited
 
--- a/src/cartdale/fleet/driver.py
+++ b/src/cartdale/fleet/driver.py
@@ -214,12 +214,12 @@
         context = self._make_context(need, None)
         candidates = list_candidates(self.state, need)
         resting = [
-            each for each in candidates if each.rests_until > context.now
+            each for each in candidates if each.backoff_until > context.now
         ]
         limited = [
             each
             for each in candidates
-            if each.rate_limit.limited and each.rests_until <= context.now
+            if each.rate_limit.limited and each.backoff_until <= context.now
         ]
         unlimited = [
             each
@@ -234,7 +234,7 @@
             return outlook
         if not unlimited:
             first = min(later, key=_expect)
-            return replace(first, rest=first.reading)
+            return replace(first, backoff=first.reading)
         return min(outlook, *later, key=_expect)
 
     def filled_share(self, need: Need) -> float:
@@ -298,7 +298,7 @@
         awake = [
             upstream
             for upstream in list_candidates(self.state, need)
-            if upstream.rests_until <= context.now
+            if upstream.backoff_until <= context.now
             and self.limits.has_permit(upstream, need)
         ]
         return [
--- a/src/cartdale/fleet/health.py
+++ b/src/cartdale/fleet/health.py
@@ -5,7 +5,7 @@
 
 from cartdale.clock import SECOND_MS, Millis
 from cartdale.fleet.types import (
-    AskedForRest,
+    BackoffRequested,
     FleetState,
     RequestEnded,
     ToldFailing,
@@ -23,12 +23,12 @@
 
 def judge(
     state: FleetState,
-    message: AskedForRest | RequestEnded | ToldFailing,
+    message: BackoffRequested | RequestEnded | ToldFailing,
     now: Millis,
 ) -> FleetState:
     """Take what says how well an upstream does its work."""
     match message:
-        case AskedForRest():
+        case BackoffRequested():
             return _rest(state, message, now)
         case RequestEnded():
             return _count(state, message, now)
@@ -38,7 +38,9 @@
             assert_never(message)
 
 
-def _rest(state: FleetState, asked: AskedForRest, now: Millis) -> FleetState:
+def _rest(
+    state: FleetState, asked: BackoffRequested, now: Millis
+) -> FleetState:
     """Leave an upstream alone for as long as any of its answers asked.
 
     A shorter time that it asks for later is that of another answer, and what
@@ -47,8 +49,8 @@
     known = state.upstreams_by_id.get(asked.upstream)
     if known is None:
         return state
-    until = max(known.rests_until, now + asked.rest)
-    return put(state, replace(known, rests_until=until))
+    until = max(known.backoff_until, now + asked.backoff)
+    return put(state, replace(known, backoff_until=until))
 
 
 def _count(state: FleetState, message: RequestEnded, now: Millis) -> FleetState:
--- a/src/cartdale/fleet/outlook.py
+++ b/src/cartdale/fleet/outlook.py
@@ -36,14 +36,14 @@
     :param reading: longest time until prompts that wait at the best engine
         are read, beyond what a request may wait for that; and until something
         may be sent, where that is not now.
-    :param rest: time until something may be sent, where all upstreams rest or
+    :param backoff: time until something may be sent, where all upstreams rest or
         have had this instance's part of their limit.
     """
 
     ends: int
     rate: float
     reading: Millis = 0
-    rest: Millis = 0
+    backoff: Millis = 0
 
     def chance(self, within: Millis) -> float:
         """Return the chance of room within a time, 0 to 1."""
@@ -105,12 +105,12 @@
     :param resting: upstreams that rest, at least one.
     :param ahead: requests like it that are served before it.
     """
-    first = min(resting, key=attrgetter('rests_until'))
-    rest = first.rests_until - context.now
+    first = min(resting, key=attrgetter('backoff_until'))
+    backoff = first.backoff_until - context.now
     load = context.loads_by_upstream.get(first.entry.upstream, Load())
     places = max(first.entry.slots - load.runs - 1, 0)
     found = foresee((first,), need, context, max(ahead - places, 0))
-    return replace(found, reading=found.reading + rest)
+    return replace(found, reading=found.reading + backoff)
 
 
 def foresee_permit(
--- a/src/cartdale/fleet/types.py
+++ b/src/cartdale/fleet/types.py
@@ -78,14 +78,14 @@
     """Hold what an upstream says of itself beside an answer.
 
     :param leaving: whether it takes no new work any more.
-    :param rest: how long it wants no requests from this instance, which it
+    :param backoff: how long it wants no requests from this instance, which it
         turned away; 0 when it does not say.
     :param limit: requests a second that it takes from all instances together,
         infinite for any; ``None`` when the answer does not tell.
     """
 
     leaving: bool = False
-    rest: Millis = 0
+    backoff: Millis = 0
     limit: float | None = None
 
     def without_absence(self) -> 'Advisory':
@@ -105,7 +105,7 @@
         failures that this instance saw itself.
     :param avoided_until: no new work before this time, if others can; for
         failures seen here or told by others.
-    :param rests_until: nothing is sent there before this time, as it asked
+    :param backoff_until: nothing is sent there before this time, as it asked
         this instance.
     :param told_here: whether it said in an answer to this instance that it
         leaves.
@@ -122,7 +122,7 @@
     strikes: int = 0
     unreachable_until: Millis = 0
     avoided_until: Millis = 0
-    rests_until: Millis = 0
+    backoff_until: Millis = 0
     told_here: bool = False
     unlisted: bool = False
     rate_limit: RateLimit = UNLIMITED
@@ -199,14 +199,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AskedForRest:
+class BackoffRequested:
     """An upstream turned this instance away, and wants nothing for a while.
 
-    :param rest: how long, from now.
+    :param backoff: how long, from now.
     """
 
     upstream: str
-    rest: Millis
+    backoff: Millis
 
 
 @dataclass(frozen=True, slots=True)
@@ -334,7 +334,7 @@
     | EntryWritten
     | EntryRemoved
     | SaidLeaving
-    | AskedForRest
+    | BackoffRequested
     | NamedLimit
     | RequestEnded
     | ToldFailing
--- a/src/cartdale/moves/driver.py
+++ b/src/cartdale/moves/driver.py
@@ -165,7 +165,7 @@
         known = self._fleet.find(name)
         if known is None or known.lifecycle is Lifecycle.LEAVING:
             return
-        if known.rests_until > self._clock.now():
+        if known.backoff_until > self._clock.now():
             return
         report = await read_report(self._upstreams, known.entry)
         if report.leaving or report.leaves_in is not None:
--- a/src/cartdale/platform/exchanges.py
+++ b/src/cartdale/platform/exchanges.py
@@ -39,7 +39,7 @@
     Standing,
     UpstreamCall,
 )
-from cartdale.retries.rests import read_rest
+from cartdale.retries.backoffs import parse_retry_after
 from cartdale.transport import CORE_BROKEN
 
 _HIDDEN_HEADERS = CONNECTION_HEADERS | {
@@ -139,7 +139,7 @@
             standing=standing,
             chunks=_read_chunks(response),
             framed=not _FRAMES.isdisjoint(named),
-            rest=advisory.rest,
+            backoff=advisory.backoff,
         )
     )
 
@@ -153,11 +153,11 @@
         return Advisory()
     named = {name.lower(): value for name, value in response.headers}
     asked = named.get(HEADER_RETRY_AFTER.encode(), b'')
-    rests = response.status == HTTPStatus.SERVICE_UNAVAILABLE
+    unavailable = response.status == HTTPStatus.SERVICE_UNAVAILABLE
     limit_name = HEADER_LIMIT.encode()
     return Advisory(
         leaving=named.get(HEADER_LEAVING.encode(), b'').strip() == b'1',
-        rest=read_rest(asked) if rests else 0,
+        backoff=parse_retry_after(asked) if unavailable else 0,
         limit=parse_limit(
             value
             for name, value in response.headers
--- a/src/cartdale/relay/admission.py
+++ b/src/cartdale/relay/admission.py
@@ -122,12 +122,12 @@
 
         :param least: when it should where none of them asked for rest.
         """
-        return max(least, self._outlast(self._fleet.foresee(need, 0).rest))
+        return max(least, self._outlast(self._fleet.foresee(need, 0).backoff))
 
-    def _outlast(self, rest: Millis) -> Millis:
+    def _outlast(self, backoff: Millis) -> Millis:
         """Return a time after a rest, not the same for all callers."""
-        spread = min(rest * _RETRY_SPREAD, _REST_SPREAD)
-        return rest + int(spread * self._generator.random())
+        spread = min(backoff * _RETRY_SPREAD, _REST_SPREAD)
+        return backoff + int(spread * self._generator.random())
 
     def _schedule_return(self, need: Need, least: Millis) -> Millis:
         """Return when a caller may come back to upstreams with rate limits.
@@ -187,7 +187,7 @@
         wait = _UNKNOWN_RETRY if expected is None else expected
         wait += int(wait * _RETRY_SPREAD * self._generator.random())
         bounded = min(max(wait, _RETRY_SHORTEST), _RETRY_LONGEST)
-        retry_after = max(bounded, self._outlast(outlook.rest))
+        retry_after = max(bounded, self._outlast(outlook.backoff))
         if shortage is Shortage.LIMITED:
             retry_after = self._schedule_return(waiting.need, retry_after)
         logger.info(
--- a/src/cartdale/relay/attempts.py
+++ b/src/cartdale/relay/attempts.py
@@ -191,7 +191,7 @@
             return None
         case Standing.REPLACED:
             fleet.tell(Replaced(upstream))
-    return Declined(rests=answer.rest > 0)
+    return Declined(rests=answer.backoff > 0)
 
 
 def _describe_wait(routed: RoutedRequest, need: Need, pace: Pace) -> Waiting:
--- a/src/cartdale/relay/silence.py
+++ b/src/cartdale/relay/silence.py
@@ -58,7 +58,7 @@
     known = ports.fleet.find(generation.upstream)
     if known is None or generation.is_stopped:
         return RunState.UNREADABLE
-    if known.rests_until > ports.clock.now():
+    if known.backoff_until > ports.clock.now():
         return RunState.UNREADABLE
     answer = await ports.upstreams.report(known.entry.address)
     state = judge_run(
--- a/src/cartdale/relay/stream.py
+++ b/src/cartdale/relay/stream.py
@@ -206,8 +206,8 @@
         """
         known = self._ports.fleet.find(upstream.upstream)
         if known is not None:
-            rest = known.rests_until - self._ports.clock.now()
-            await trio.sleep(seconds(max(rest, 0)))
+            backoff = known.backoff_until - self._ports.clock.now()
+            await trio.sleep(seconds(max(backoff, 0)))
 
     async def _open(self, call: UpstreamCall) -> LinkEnd:
         """Send a request, and read its answer unless none will come."""
--- a/src/cartdale/relay/types.py
+++ b/src/cartdale/relay/types.py
@@ -128,7 +128,7 @@
     :param headers: those that the caller gets as they are.
     :param framed: whether the body says by itself where it ends; else it ends
         with its connection.
-    :param rest: how long the upstream wants nothing from this instance.
+    :param backoff: how long the upstream wants nothing from this instance.
     :param chunks: raises ``LinkBrokeError`` unless the body ends whole.
     """
 
@@ -137,7 +137,7 @@
     standing: Standing
     chunks: AsyncIterator[bytes]
     framed: bool = True
-    rest: Millis = 0
+    backoff: Millis = 0
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/cartdale/streams/driver.py
+++ b/src/cartdale/streams/driver.py
@@ -115,7 +115,7 @@
         refusal = self._watch.find_refusal()
         if refusal is not None:
             return refusal
-        resting = self._ports.rests.list_resting()
+        resting = self._ports.backoffs.list_backing_off()
         placed = await self._ports.placer.place(
             _avoid(self.asked.work, resting)
         )
@@ -178,7 +178,7 @@
         request = replace(
             self.asked.generation, generation=self.state.generation
         )
-        if self._ports.rests.left(self.state.upstream):
+        if self._ports.backoffs.remaining(self.state.upstream):
             # Whoever placed it does not know, or there is no other.
             self._read(refuse_to_send())
         else:
@@ -266,8 +266,8 @@
                 self._watch.note_ran_on()
                 self._last = Whole()
             case Fail(problem=problem):
-                rest = self._ports.rests.left(self.state.upstream)
-                self._last = Broken(_outlast(problem, rest))
+                backoff = self._ports.backoffs.remaining(self.state.upstream)
+                self._last = Broken(_outlast(problem, backoff))
             case _:
                 assert_never(action)
 
@@ -310,7 +310,7 @@
         self._ports.nursery.start_soon(self._cancel, abandoned)
         first = self.asked.generation.generation
         generation = f'{first}-{abandoned.repeats + 1}'
-        resting = self._ports.rests.list_resting()
+        resting = self._ports.backoffs.list_backing_off()
         avoided = _avoid(self.asked.work, (abandoned.upstream, *resting))
         work = replace(avoided, work_id=generation)
         placed = await self._ports.placer.place(work)
@@ -327,8 +327,8 @@
                 self._give_up(problem)
 
     def _give_up(self, problem: Problem) -> None:
-        rest = self._ports.rests.left(self.state.upstream)
-        self._last = Broken(soften(self.state, _outlast(problem, rest)))
+        backoff = self._ports.backoffs.remaining(self.state.upstream)
+        self._last = Broken(soften(self.state, _outlast(problem, backoff)))
         self.state = replace(self.state, phase=Phase.ENDED)
 
     def _bind(self) -> None:
@@ -344,7 +344,7 @@
 
     def _blame(self, closing: Message) -> None:
         if isinstance(closing, StartRefused):
-            self._ports.rests.note(self.state.upstream, closing.rest)
+            self._ports.backoffs.note(self.state.upstream, closing.backoff)
         if isinstance(closing, _ENGINE_AT_FAULT):
             self._ports.placer.blame(self.state.generation, self.state.upstream)
 
@@ -372,8 +372,8 @@
     return replace(work, avoid=(*work.avoid, *names))
 
 
-def _outlast(problem: Problem, rest: Millis) -> Problem:
+def _outlast(problem: Problem, backoff: Millis) -> Problem:
     """Have a refused caller come back after a rest, if that is why."""
     if not isinstance(problem, NotRun):
         return problem
-    return replace(problem, retry_after=max(problem.retry_after, rest))
+    return replace(problem, retry_after=max(problem.retry_after, backoff))
--- a/src/cartdale/streams/link.py
+++ b/src/cartdale/streams/link.py
@@ -98,8 +98,8 @@
 
 def _to_closing(failure: EngineFailure) -> Closing:
     match failure:
-        case EngineRefused(rest=rest):
-            return StartRefused(rest)
+        case EngineRefused(backoff=backoff):
+            return StartRefused(backoff)
         case EngineUnreachable():
             return NotSent()
         case GenerationUnknown():
--- a/src/cartdale/streams/ports.py
+++ b/src/cartdale/streams/ports.py
@@ -10,8 +10,8 @@
 from cartdale.placement.driver import Placer
 from cartdale.quarantine.driver import Quarantine
 from cartdale.reports.recorder import Recorder
+from cartdale.retries.backoffs import BackoffTracker
 from cartdale.retries.decide import RetryBudget
-from cartdale.retries.rests import Rests
 from cartdale.streams.position import PositionSealer
 
 
@@ -30,4 +30,4 @@
     budget: RetryBudget
     recorder: Recorder
     quarantine: Quarantine
-    rests: Rests
+    backoffs: BackoffTracker
--- a/src/cartdale/streams/types.py
+++ b/src/cartdale/streams/types.py
@@ -82,10 +82,10 @@
 class StartRefused:
     """The engine refused before running.
 
-    :param rest: how long it wants no requests; 0 when it does not say.
+    :param backoff: how long it wants no requests; 0 when it does not say.
     """
 
-    rest: Millis = 0
+    backoff: Millis = 0
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/fault_soak/mutants.py
+++ b/tests/fault_soak/mutants.py
@@ -102,7 +102,9 @@
     honest = advisories.AdvisoryRecorder.record
 
     def record(self, upstream, advisory, request_id, asked_at):
-        honest(self, upstream, replace(advisory, rest=0), request_id, asked_at)
+        honest(
+            self, upstream, replace(advisory, backoff=0), request_id, asked_at
+        )
 
     advisories.AdvisoryRecorder.record = record
 
--- a/tests/test_notices.py
+++ b/tests/test_notices.py
@@ -46,12 +46,12 @@
     ],
 )
 def test_rest_is_read_in_seconds(asked: str, rest: int) -> None:
-    assert read_advisory(answer(503, Retry_After=asked)).rest == rest
+    assert read_advisory(answer(503, Retry_After=asked)).backoff == rest
 
 
 def test_only_who_turns_a_request_away_for_now_asks_for_rest() -> None:
-    assert not read_advisory(answer(429, Retry_After='3')).rest
-    assert not read_advisory(answer(500, Retry_After='3')).rest
+    assert not read_advisory(answer(429, Retry_After='3')).backoff
+    assert not read_advisory(answer(500, Retry_After='3')).backoff
 
 
 @pytest.mark.parametrize(
--- a/tests/test_rests.py
+++ b/tests/test_rests.py
@@ -26,7 +26,7 @@
 from cartdale.fleet.driver import Fleet
 from cartdale.fleet.types import (
     Advisory,
-    AskedForRest,
+    BackoffRequested,
     EntryWritten,
     FleetState,
     RequestEnded,
@@ -121,7 +121,7 @@
         fleet = stage.runtimes[0].fleet
         advisories = AdvisoryRecorder(fleet, SystemClock())
         call = make_call_to(fleet, 'plain-0')
-        advisories.record('plain-0', Advisory(rest=500), 'r', 0)
+        advisories.record('plain-0', Advisory(backoff=500), 'r', 0)
         async with PlatformUpstreams(advisories).open(call) as opened:
             assert opened == Failure(SendWithheld())
         assert not stage.plains[0].arrivals
@@ -172,12 +172,12 @@
             source.leaves_ms = 5000
             stage.drain(source)
             await until(lambda: source.stops_by_request.get('r1'))
-            fleet.tell(AskedForRest(target.name, 700))
-            rests_until = trio.current_time() + 0.7
+            fleet.tell(BackoffRequested(target.name, 700))
+            backoff_until = trio.current_time() + 0.7
             source.copy_gate.set()
         assert answers[0].content == whole('r1', 200)
         assert target.runs_by_request['r1'] or target.resumed_by_request['r1']
-        assert target.arrivals[0].at >= rests_until
+        assert target.arrivals[0].at >= backoff_until
 
 
 async def lose_backup(stage: PlatformStage, kept_at: PlatformEngine) -> None:
@@ -190,15 +190,15 @@
 
 
 def rest(state: FleetState, for_ms: int, now: int) -> FleetState:
-    return decide(state, AskedForRest('a', for_ms), now)[0]
+    return decide(state, BackoffRequested('a', for_ms), now)[0]
 
 
 def test_the_longest_time_that_was_asked_for_holds() -> None:
     state = rest(make_fleet('a', born=1), 3000, 100)
     for shorter in (rest(state, 500, 200), rest(state, 0, 200)):
-        assert shorter.upstreams_by_id['a'].rests_until == 3100
+        assert shorter.upstreams_by_id['a'].backoff_until == 3100
     longer = rest(state, 3000, 200)
-    assert longer.upstreams_by_id['a'].rests_until == 3200
+    assert longer.upstreams_by_id['a'].backoff_until == 3200
 
 
 def test_answers_to_what_was_there_before_do_not_end_a_rest() -> None:
@@ -209,13 +209,13 @@
         EntryWritten(make_entry('a', born=1)),
     ):
         after, _ = decide(state, ended, 200)
-        assert after.upstreams_by_id['a'].rests_until == 3100
+        assert after.upstreams_by_id['a'].backoff_until == 3100
 
 
 def test_a_rest_ends_with_the_life_that_asked_for_it() -> None:
     state = rest(make_fleet('a', born=1), 3000, 100)
     state, _ = decide(state, EntryWritten(make_entry('a', born=2)), 200)
-    assert not state.upstreams_by_id['a'].rests_until
+    assert not state.upstreams_by_id['a'].backoff_until
 
 
 def make_resting(clock: VirtualClock, *rests: int) -> Fleet:
@@ -225,7 +225,7 @@
         name = f'u{number}'
         fleet.tell(EntryWritten(make_entry(name, slots=2)))
         if wanted:
-            fleet.tell(AskedForRest(name, wanted))
+            fleet.tell(BackoffRequested(name, wanted))
     return fleet
 
 
@@ -247,7 +247,7 @@
 def test_the_first_rest_that_ends_is_foreseen() -> None:
     clock = VirtualClock()
     outlook = make_resting(clock, 900, 800).foresee(Need('s'), 0)
-    assert (outlook.rest, outlook.expected_wait()) == (800, 800)
+    assert (outlook.backoff, outlook.expected_wait()) == (800, 800)
     assert outlook.chance(799) == 0
     assert outlook.chance(800) == 1
     # Two places: the third waits for an end besides.
--- a/tests/test_rests_own.py
+++ b/tests/test_rests_own.py
@@ -10,7 +10,7 @@
 import trio
 
 from cartdale.clock import VirtualClock
-from cartdale.retries.rests import Rests
+from cartdale.retries.backoffs import BackoffTracker
 from cartdale_standins.engine import EngineFaults
 from tests.callers import make_body, stream
 from tests.stage import CALLER_KEY, Stage, open_stage
@@ -73,12 +73,12 @@
 
 def test_the_longest_rest_holds_and_ends() -> None:
     clock = VirtualClock()
-    rests = Rests(clock)
-    rests.note('a', 3000)
-    rests.note('a', 500)
-    rests.note('b', 0)
-    assert (rests.left('a'), rests.left('b')) == (3000, 0)
-    assert rests.list_resting() == ('a',)
+    backoffs = BackoffTracker(clock)
+    backoffs.note('a', 3000)
+    backoffs.note('a', 500)
+    backoffs.note('b', 0)
+    assert (backoffs.remaining('a'), backoffs.remaining('b')) == (3000, 0)
+    assert backoffs.list_backing_off() == ('a',)
     clock.advance(3000)
-    assert not rests.left('a')
-    assert not rests.list_resting()
+    assert not backoffs.remaining('a')
+    assert not backoffs.list_backing_off()
