--- a/src/cartdale/fleet/candidates.py
+++ b/src/cartdale/fleet/candidates.py
@@ -10,7 +10,7 @@
 from cartdale.routes.types import ServiceSpec
 
 
-class Shortage(StrEnum):
+class UnavailableReason(StrEnum):
     """Say why a request found no upstream."""
 
     #: Some take new work, but have no room.
@@ -42,13 +42,13 @@
     ]
 
 
-def find_shortage(
+def find_unavailable_reason(
     state: FleetState,
     need: Need,
     spec: ServiceSpec,
     now: Millis,
     spent: frozenset[str],
-) -> Shortage:
+) -> UnavailableReason:
     """Return why a request found no upstream.
 
     :param spent: upstreams of whose rate limits this instance has had its part.
@@ -58,12 +58,16 @@
         return _find_absence(state, need)
     awake = [each for each in candidates if each.backoff_until <= now]
     if not awake:
-        return Shortage.RESTING
+        return UnavailableReason.RESTING
     open_to_it = [each for each in awake if each.entry.upstream not in spent]
     if not open_to_it:
-        return Shortage.LIMITED
+        return UnavailableReason.LIMITED
     cold = all(is_cold(state, each, spec, now) for each in open_to_it)
-    return Shortage.COLD if cold and spec.cold_rate else Shortage.FULL
+    return (
+        UnavailableReason.COLD
+        if cold and spec.cold_rate
+        else UnavailableReason.FULL
+    )
 
 
 def is_closed(state: FleetState, need: Need) -> bool:
@@ -101,19 +105,23 @@
     return leaving, resting, limited
 
 
-def _find_absence(state: FleetState, need: Need) -> Shortage:
+def _find_absence(state: FleetState, need: Need) -> UnavailableReason:
     """Return why a request has not even candidates."""
     if is_closed(state, need):
-        return Shortage.EVACUATED
+        return UnavailableReason.EVACUATED
     anywhere = replace(need, domains=None)
     if _list_live(state, anywhere):
-        return Shortage.REGION
+        return UnavailableReason.REGION
     leaving = [
         each.lifecycle is Lifecycle.LEAVING
         for each in state.upstreams_by_id.values()
         if each.entry.service == need.service
     ]
-    return Shortage.LEAVING if leaving and all(leaving) else Shortage.MISSING
+    return (
+        UnavailableReason.LEAVING
+        if leaving and all(leaving)
+        else UnavailableReason.MISSING
+    )
 
 
 def _list_live(state: FleetState, need: Need) -> list[Upstream]:
--- a/src/cartdale/fleet/driver.py
+++ b/src/cartdale/fleet/driver.py
@@ -10,8 +10,8 @@
 
 from cartdale.clock import Clock, Millis, seconds
 from cartdale.fleet.candidates import (
-    Shortage,
-    find_shortage,
+    UnavailableReason,
+    find_unavailable_reason,
     is_cold,
     list_candidates,
 )
@@ -246,12 +246,12 @@
         context = self._make_context(need, None)
         return measure_filling(list_candidates(self.state, need), context)
 
-    def find_shortage(self, need: Need) -> Shortage:
+    def find_unavailable_reason(self, need: Need) -> UnavailableReason:
         """Return why a request found no upstream."""
         spec = self._find_spec(need.service)
         now = self._clock.now()
         spent = self.limits.gate.list_spent(now)
-        return find_shortage(self.state, need, spec, now, spent)
+        return find_unavailable_reason(self.state, need, spec, now, spent)
 
     def may_finish_move(self, entry: UpstreamEntry) -> bool:
         """Tell whether a stopped generation may go on at an upstream."""
--- a/src/cartdale/relay/admission.py
+++ b/src/cartdale/relay/admission.py
@@ -13,7 +13,7 @@
 from loguru import logger
 
 from cartdale.clock import SECOND_MS, Clock, Millis, seconds
-from cartdale.fleet.candidates import Shortage
+from cartdale.fleet.candidates import UnavailableReason
 from cartdale.fleet.choose import Need
 from cartdale.fleet.driver import Fleet
 from cartdale.fleet.outlook import Outlook
@@ -43,7 +43,9 @@
 #: long rest is no reason to stay away much longer.
 _REST_SPREAD: Millis = 3 * SECOND_MS
 #: What only the operator can end, so that nobody waits for it.
-_NOT_WAITED_FOR = frozenset((Shortage.EVACUATED, Shortage.REGION))
+_NOT_WAITED_FOR = frozenset(
+    (UnavailableReason.EVACUATED, UnavailableReason.REGION)
+)
 
 
 @dataclass(frozen=True, slots=True, order=True)
@@ -159,19 +161,25 @@
                     return chosen
             now = self._clock.now()
             outlook = self._fleet.foresee(waiting.need, ahead)
-            shortage = self._fleet.find_shortage(waiting.need)
-            if shortage in _NOT_WAITED_FOR:
-                return self._refuse(waiting, outlook, 0, shortage)
+            unavailable_reason = self._fleet.find_unavailable_reason(
+                waiting.need
+            )
+            if unavailable_reason in _NOT_WAITED_FOR:
+                return self._refuse(waiting, outlook, 0, unavailable_reason)
             until = waiting.until
             if outlook.expected_wait() is None:
-                until = min(until, began + _find_unknown_wait(shortage))
+                until = min(
+                    until, began + _find_unknown_wait(unavailable_reason)
+                )
                 chance = float(now < until)
             else:
                 chance = outlook.chance(until - now)
             if not self._fleet.switches.has(Mechanism.FORECAST):
                 chance = 1
             if now >= until or chance < least_chance:
-                return self._refuse(waiting, outlook, chance, shortage)
+                return self._refuse(
+                    waiting, outlook, chance, unavailable_reason
+                )
             least_chance = _LEAST_CHANCE_LEFT
             with trio.move_on_after(seconds(min(until - now, _LOOK_EVERY))):
                 await self._fleet.changed()
@@ -181,14 +189,14 @@
         waiting: Waiting,
         outlook: Outlook,
         chance: float,
-        shortage: Shortage,
+        unavailable_reason: UnavailableReason,
     ) -> NoRoom:
         expected = outlook.expected_wait()
         wait = _UNKNOWN_RETRY if expected is None else expected
         wait += int(wait * _RETRY_SPREAD * self._generator.random())
         bounded = min(max(wait, _RETRY_SHORTEST), _RETRY_LONGEST)
         retry_after = max(bounded, self._outlast(outlook.backoff))
-        if shortage is Shortage.LIMITED:
+        if unavailable_reason is UnavailableReason.LIMITED:
             retry_after = self._schedule_return(waiting.need, retry_after)
         logger.info(
             'no room',
@@ -200,14 +208,16 @@
             reading=outlook.reading,
             expected_wait=expected,
             retry_after=retry_after,
-            shortage=shortage,
+            shortage=unavailable_reason,
         )
         return NoRoom(retry_after)
 
 
-def _find_unknown_wait(shortage: Shortage) -> Millis:
+def _find_unknown_wait(unavailable_reason: UnavailableReason) -> Millis:
     """Return how long a request waits for what can't be foreseen.
 
     Who has no part of the limits gets none soon.
     """
-    return 0 if shortage is Shortage.LIMITED else _UNKNOWN_WAIT
+    return (
+        0 if unavailable_reason is UnavailableReason.LIMITED else _UNKNOWN_WAIT
+    )
--- a/tests/test_limited_admission.py
+++ b/tests/test_limited_admission.py
@@ -103,7 +103,7 @@
     assert not waits
     assert trio.current_time() == began
     assert min(each.retry_after for each in refusals) >= 500
-    assert without[0].find_shortage(NEED) == 'limited'
+    assert without[0].find_unavailable_reason(NEED) == 'limited'
 
 
 async def test_others_take_what_a_limited_upstream_does_not(
--- a/tests/test_rests.py
+++ b/tests/test_rests.py
@@ -232,16 +232,16 @@
 def test_shortage_names_what_keeps_a_request_waiting() -> None:
     clock = VirtualClock()
     need = Need('s')
-    assert make_resting(clock, 900, 0).find_shortage(need) == 'full'
+    assert make_resting(clock, 900, 0).find_unavailable_reason(need) == 'full'
     resting = make_resting(clock, 900, 800)
-    assert resting.find_shortage(need) == 'resting'
+    assert resting.find_unavailable_reason(need) == 'resting'
     assert resting.choose(need) is None
     for name in ('u0', 'u1'):
         resting.tell(SaidLeaving(name))
-    assert resting.find_shortage(need) == 'leaving'
-    assert make_resting(clock).find_shortage(need) == 'missing'
+    assert resting.find_unavailable_reason(need) == 'leaving'
+    assert make_resting(clock).find_unavailable_reason(need) == 'missing'
     tried = replace(need, excluded=frozenset(('u0',)))
-    assert make_resting(clock, 0).find_shortage(tried) == 'missing'
+    assert make_resting(clock, 0).find_unavailable_reason(tried) == 'missing'
 
 
 def test_the_first_rest_that_ends_is_foreseen() -> None:
