--- a/src/cartdale/fleet/candidates.py
+++ b/src/cartdale/fleet/candidates.py
@@ -4,7 +4,7 @@
 from enum import StrEnum
 
 from cartdale.clock import Millis
-from cartdale.fleet.choose import Need
+from cartdale.fleet.choose import RequestNeeds
 from cartdale.fleet.evacuation import is_evacuated, reopened_within
 from cartdale.fleet.types import FleetState, Lifecycle, Upstream
 from cartdale.routes.types import ServiceSpec
@@ -31,11 +31,11 @@
     MISSING = 'missing'
 
 
-def list_candidates(state: FleetState, need: Need) -> list[Upstream]:
+def list_candidates(state: FleetState, needs: RequestNeeds) -> list[Upstream]:
     """Return the upstreams of the service that take new work."""
     return [
         upstream
-        for upstream in _list_live(state, need)
+        for upstream in _list_live(state, needs)
         if not is_evacuated(
             state.standings_by_domain, upstream.entry.failure_domain
         )
@@ -44,7 +44,7 @@
 
 def find_unavailable_reason(
     state: FleetState,
-    need: Need,
+    needs: RequestNeeds,
     spec: ServiceSpec,
     now: Millis,
     spent: frozenset[str],
@@ -53,9 +53,9 @@
 
     :param spent: upstreams of whose rate limits this instance has had its part.
     """
-    candidates = list_candidates(state, need)
+    candidates = list_candidates(state, needs)
     if not candidates:
-        return _find_absence(state, need)
+        return _find_absence(state, needs)
     awake = [each for each in candidates if each.backoff_until <= now]
     if not awake:
         return UnavailableReason.RESTING
@@ -70,10 +70,10 @@
     )
 
 
-def is_closed(state: FleetState, need: Need) -> bool:
+def is_closed(state: FleetState, needs: RequestNeeds) -> bool:
     """Tell whether all upstreams that could serve a request are evacuated."""
-    live = _list_live(state, need)
-    return bool(live) and not list_candidates(state, need)
+    live = _list_live(state, needs)
+    return bool(live) and not list_candidates(state, needs)
 
 
 def is_cold(
@@ -105,17 +105,17 @@
     return leaving, resting, limited
 
 
-def _find_absence(state: FleetState, need: Need) -> UnavailableReason:
+def _find_absence(state: FleetState, needs: RequestNeeds) -> UnavailableReason:
     """Return why a request has not even candidates."""
-    if is_closed(state, need):
+    if is_closed(state, needs):
         return UnavailableReason.EVACUATED
-    anywhere = replace(need, domains=None)
+    anywhere = replace(needs, domains=None)
     if _list_live(state, anywhere):
         return UnavailableReason.REGION
     leaving = [
         each.lifecycle is Lifecycle.LEAVING
         for each in state.upstreams_by_id.values()
-        if each.entry.service == need.service
+        if each.entry.service == needs.service
     ]
     return (
         UnavailableReason.LEAVING
@@ -124,17 +124,17 @@
     )
 
 
-def _list_live(state: FleetState, need: Need) -> list[Upstream]:
+def _list_live(state: FleetState, needs: RequestNeeds) -> list[Upstream]:
     """Return the upstreams that serve and lie where a request may go."""
     return [
         upstream
         for name, upstream in state.upstreams_by_id.items()
-        if upstream.entry.service == need.service
+        if upstream.entry.service == needs.service
         and upstream.lifecycle is not Lifecycle.LEAVING
-        and name not in need.excluded
-        and _may_enter(need, upstream.entry.failure_domain)
+        and name not in needs.excluded
+        and _may_enter(needs, upstream.entry.failure_domain)
     ]
 
 
-def _may_enter(need: Need, failure_domain: str) -> bool:
-    return need.domains is None or failure_domain in need.domains
+def _may_enter(needs: RequestNeeds, failure_domain: str) -> bool:
+    return needs.domains is None or failure_domain in needs.domains
--- a/src/cartdale/fleet/choose.py
+++ b/src/cartdale/fleet/choose.py
@@ -56,7 +56,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Need:
+class RequestNeeds:
     """Describe what a request takes.
 
     :param prompt: memory that it takes at once, in tokens; 0 for a plain
@@ -112,7 +112,7 @@
 
 def choose(
     candidates: Iterable[Upstream],
-    need: Need,
+    needs: RequestNeeds,
     context: ChoiceContext,
     generator: random.Random,
 ) -> Upstream | None:
@@ -127,18 +127,18 @@
     if context.switches.has(Mechanism.AVOIDANCE):
         listed = _prefer_answering(listed, context.now)
     considered = len(listed)
-    if context.switches.has(Mechanism.FEW_CHOICES) and not need.among_all:
+    if context.switches.has(Mechanism.FEW_CHOICES) and not needs.among_all:
         considered = min(considered, context.choices)
     few = generator.sample(listed, considered)
-    best = _choose_best(few, need, context, generator)
+    best = _choose_best(few, needs, context, generator)
     if best is None and len(few) < len(listed):
-        return _choose_best(listed, need, context, generator)
+        return _choose_best(listed, needs, context, generator)
     return best
 
 
 def _choose_best(
     listed: Iterable[Upstream],
-    need: Need,
+    needs: RequestNeeds,
     context: ChoiceContext,
     generator: random.Random,
 ) -> Upstream | None:
@@ -146,9 +146,9 @@
     least = float('inf')
     for upstream in listed:
         load = context.loads_by_upstream.get(upstream.entry.upstream, Load())
-        if not _has_room(upstream, load, need, context):
+        if not _has_room(upstream, load, needs, context):
             continue
-        cost = _cost(upstream, load, need, context)
+        cost = _cost(upstream, load, needs, context)
         cost += generator.random() * _JITTER
         if cost < least:
             best, least = upstream, cost
@@ -161,26 +161,26 @@
 
 
 def _has_room(
-    upstream: Upstream, load: Load, need: Need, context: ChoiceContext
+    upstream: Upstream, load: Load, needs: RequestNeeds, context: ChoiceContext
 ) -> bool:
     engine = context.spec.engine
     if load.runs >= upstream.entry.slots:
         return False
     if engine is None:
         return True
-    if not load.runs and need.filled >= MEMORY_FILLED:
+    if not load.runs and needs.filled >= MEMORY_FILLED:
         return True
-    if reads_after(load, need, context.pace):
+    if reads_after(load, needs, context.pace):
         return False
-    return count_missing(load, need, context) <= 0
+    return count_missing(load, needs, context) <= 0
 
 
-def reads_after(load: Load, need: Need, pace: Pace) -> Millis:
+def reads_after(load: Load, needs: RequestNeeds, pace: Pace) -> Millis:
     """Return how long after its time a prompt would be read; 0 for in time."""
-    if not (need.read_within and load.reading):
+    if not (needs.read_within and load.reading):
         return 0
-    takes = pace.read_time(load.reading + need.reads)
-    return max(int(takes) - need.read_within, 0)
+    takes = pace.read_time(load.reading + needs.reads)
+    return max(int(takes) - needs.read_within, 0)
 
 
 def measure_filling(
@@ -198,41 +198,43 @@
     return taken / (engine.memory_tokens * len(loads))
 
 
-def count_missing(load: Load, need: Need, context: ChoiceContext) -> float:
+def count_missing(
+    load: Load, needs: RequestNeeds, context: ChoiceContext
+) -> float:
     """Return the memory that an engine lacks for a request, in tokens."""
     engine = context.spec.engine
     if engine is None:
         return 0
-    wanted = need.prompt + _forecast_growth(load, need, context.pace)
-    return load.tokens + wanted - need.filled * engine.memory_tokens
+    wanted = needs.prompt + _forecast_growth(load, needs, context.pace)
+    return load.tokens + wanted - needs.filled * engine.memory_tokens
 
 
-def _forecast_growth(load: Load, need: Need, pace: Pace) -> float:
+def _forecast_growth(load: Load, needs: RequestNeeds, pace: Pace) -> float:
     """Return the memory that is needed beyond the present, in tokens.
 
     What runs there grows by a token a step for as long as the request stays.
     """
-    steps = need.expected + need.reads / pace.read_in_step
-    others = min(need.reserved * load.growth, load.runs * steps)
-    return need.reserved * need.expected + others
+    steps = needs.expected + needs.reads / pace.read_in_step
+    others = min(needs.reserved * load.growth, load.runs * steps)
+    return needs.reserved * needs.expected + others
 
 
 def _cost(
-    upstream: Upstream, load: Load, need: Need, context: ChoiceContext
+    upstream: Upstream, load: Load, needs: RequestNeeds, context: ChoiceContext
 ) -> float:
     engine = context.spec.engine
     if engine is None:
         cost = (load.runs + 1) / upstream.entry.slots
     else:
-        held = load.tokens + GROWTH_RESERVED * load.growth + need.prompt
+        held = load.tokens + GROWTH_RESERVED * load.growth + needs.prompt
         cost = (held / engine.memory_tokens) ** 2
         if context.switches.has(Mechanism.INTERFERENCE):
-            delay = _count_delay(upstream, load, need, context)
+            delay = _count_delay(upstream, load, needs, context)
             cost += _DELAY_WEIGHT * delay / engine.memory_tokens
     if context.switches.has(Mechanism.AVOIDANCE):
         cost += _count_risk(upstream, context.now)
     if upstream.entry.failure_domain != context.failure_domain:
-        cost += need.far_cost
+        cost += needs.far_cost
     if upstream.rate_limit.may_have_ended(context.now):
         cost -= _ASKED_AGAIN_GAIN
     return cost
@@ -249,12 +251,12 @@
 
 
 def _count_delay(
-    upstream: Upstream, load: Load, need: Need, context: ChoiceContext
+    upstream: Upstream, load: Load, needs: RequestNeeds, context: ChoiceContext
 ) -> float:
     """Return the time that a choice costs all, in prompt tokens."""
     share = context.reading_shares.get(upstream.entry.upstream, 0)
-    beside_others = share * need.expected * context.pace.read_in_step
-    if not need.reads:
+    beside_others = share * needs.expected * context.pace.read_in_step
+    if not needs.reads:
         return beside_others
-    holds_up = _HELD_UP * load.long * need.reads
+    holds_up = _HELD_UP * load.long * needs.reads
     return load.reading + holds_up + beside_others
--- a/src/cartdale/fleet/driver.py
+++ b/src/cartdale/fleet/driver.py
@@ -18,7 +18,7 @@
 from cartdale.fleet.choose import (
     CHOICES,
     ChoiceContext,
-    Need,
+    RequestNeeds,
     choose,
     measure_filling,
 )
@@ -167,21 +167,21 @@
         self._paces_by_service[service] = learnt
 
     def choose(
-        self, need: Need, failure_domain: str | None = None
+        self, needs: RequestNeeds, failure_domain: str | None = None
     ) -> Upstream | None:
         """Return an upstream with room for a request, or ``None``.
 
         :param failure_domain: where the work comes from; this instance's
             own when left out.
         """
-        context = self._make_context(need, failure_domain)
-        candidates = self._list_allowed(need, context)
-        chosen = choose(candidates, need, context, self._generator)
+        context = self._make_context(needs, failure_domain)
+        candidates = self._list_allowed(needs, context)
+        chosen = choose(candidates, needs, context, self._generator)
         if chosen is None:
             return None
         if is_cold(self.state, chosen, context.spec, context.now):
             self.cold_gate.reserve(chosen.entry.upstream, context.now)
-        self.limits.reserve(chosen, need)
+        self.limits.reserve(chosen, needs)
         return chosen
 
     def spend(self, upstream: Upstream, *, resumes: bool) -> bool:
@@ -206,13 +206,13 @@
             self.cold_gate.note(name, now)
         return True
 
-    def foresee(self, need: Need, ahead: int) -> Outlook:
+    def foresee(self, needs: RequestNeeds, ahead: int) -> Outlook:
         """Return when a request finds room.
 
         :param ahead: requests that are served before it.
         """
-        context = self._make_context(need, None)
-        candidates = list_candidates(self.state, need)
+        context = self._make_context(needs, None)
+        candidates = list_candidates(self.state, needs)
         resting = [
             each for each in candidates if each.backoff_until > context.now
         ]
@@ -223,13 +223,13 @@
         ]
         unlimited = [
             each
-            for each in self._list_allowed(need, context)
+            for each in self._list_allowed(needs, context)
             if not each.rate_limit.limited
         ]
-        outlook = foresee(unlimited, need, context, ahead)
-        later = self.limits.foresee(limited, need, context, ahead)
+        outlook = foresee(unlimited, needs, context, ahead)
+        later = self.limits.foresee(limited, needs, context, ahead)
         if resting:
-            later.append(foresee_end_of_rest(resting, need, context, ahead))
+            later.append(foresee_end_of_rest(resting, needs, context, ahead))
         if not later:
             return outlook
         if not unlimited:
@@ -237,21 +237,21 @@
             return replace(first, backoff=first.reading)
         return min(outlook, *later, key=_expect)
 
-    def filled_share(self, need: Need) -> float:
+    def filled_share(self, needs: RequestNeeds) -> float:
         """Return how full the engines are that could serve a request.
 
         Their memory with the growth that is expected, 0 to 1 and beyond; 1
         where there are none.
         """
-        context = self._make_context(need, None)
-        return measure_filling(list_candidates(self.state, need), context)
+        context = self._make_context(needs, None)
+        return measure_filling(list_candidates(self.state, needs), context)
 
-    def find_unavailable_reason(self, need: Need) -> UnavailableReason:
+    def find_unavailable_reason(self, needs: RequestNeeds) -> UnavailableReason:
         """Return why a request found no upstream."""
-        spec = self._find_spec(need.service)
+        spec = self._find_spec(needs.service)
         now = self._clock.now()
         spent = self.limits.gate.list_spent(now)
-        return find_unavailable_reason(self.state, need, spec, now, spent)
+        return find_unavailable_reason(self.state, needs, spec, now, spent)
 
     def may_finish_move(self, entry: UpstreamEntry) -> bool:
         """Tell whether a stopped generation may go on at an upstream."""
@@ -287,7 +287,7 @@
                 self.on_evacuating(name)
 
     def _list_allowed(
-        self, need: Need, context: ChoiceContext
+        self, needs: RequestNeeds, context: ChoiceContext
     ) -> list[Upstream]:
         """Return the candidates to which this instance may send now.
 
@@ -297,9 +297,9 @@
         """
         awake = [
             upstream
-            for upstream in list_candidates(self.state, need)
+            for upstream in list_candidates(self.state, needs)
             if upstream.backoff_until <= context.now
-            and self.limits.has_permit(upstream, need)
+            and self.limits.has_permit(upstream, needs)
         ]
         return [
             upstream
@@ -315,15 +315,15 @@
         return known or ServiceSpec(service, '', 0)
 
     def _make_context(
-        self, need: Need, failure_domain: str | None
+        self, needs: RequestNeeds, failure_domain: str | None
     ) -> ChoiceContext:
         now = self._clock.now()
         return ChoiceContext(
-            spec=self._find_spec(need.service),
+            spec=self._find_spec(needs.service),
             loads_by_upstream=self.loads.totals(now),
             failure_domain=failure_domain or self._failure_domain,
             now=now,
-            pace=self.pace(need.service),
+            pace=self.pace(needs.service),
             reading_shares=self._reading.by_upstream,
             switches=self.switches,
             choices=self.choices,
--- a/src/cartdale/fleet/outlook.py
+++ b/src/cartdale/fleet/outlook.py
@@ -16,7 +16,7 @@
 from cartdale.clock import Millis
 from cartdale.fleet.choose import (
     ChoiceContext,
-    Need,
+    RequestNeeds,
     count_missing,
     reads_after,
 )
@@ -72,7 +72,7 @@
 
 def foresee(
     candidates: Iterable[Upstream],
-    need: Need,
+    needs: RequestNeeds,
     context: ChoiceContext,
     ahead: int,
 ) -> Outlook:
@@ -85,8 +85,8 @@
     for upstream in candidates:
         load = context.loads_by_upstream.get(upstream.entry.upstream, Load())
         rate += _rate_of_ends(load, context)
-        ends = _count_ends(upstream, load, need, context)
-        found = (ends, reads_after(load, need, context.pace))
+        ends = _count_ends(upstream, load, needs, context)
+        found = (ends, reads_after(load, needs, context.pace))
         if best is None or found < best:
             best = found
     if best is None:
@@ -96,7 +96,7 @@
 
 def foresee_end_of_rest(
     resting: Collection[Upstream],
-    need: Need,
+    needs: RequestNeeds,
     context: ChoiceContext,
     ahead: int,
 ) -> Outlook:
@@ -109,18 +109,21 @@
     backoff = first.backoff_until - context.now
     load = context.loads_by_upstream.get(first.entry.upstream, Load())
     places = max(first.entry.slots - load.runs - 1, 0)
-    found = foresee((first,), need, context, max(ahead - places, 0))
+    found = foresee((first,), needs, context, max(ahead - places, 0))
     return replace(found, reading=found.reading + backoff)
 
 
 def foresee_permit(
-    upstream: Upstream, need: Need, context: ChoiceContext, wait: Millis
+    upstream: Upstream,
+    needs: RequestNeeds,
+    context: ChoiceContext,
+    wait: Millis,
 ) -> Outlook:
     """Return when a request finds room where its upstream is rate limited.
 
     :param wait: time until this instance may send it there.
     """
-    found = foresee((upstream,), need, context, 0)
+    found = foresee((upstream,), needs, context, 0)
     return replace(found, reading=found.reading + wait)
 
 
@@ -137,12 +140,12 @@
 
 
 def _count_ends(
-    upstream: Upstream, load: Load, need: Need, context: ChoiceContext
+    upstream: Upstream, load: Load, needs: RequestNeeds, context: ChoiceContext
 ) -> int:
     """Return how many requests must end at an upstream before there is room."""
     places = max(load.runs + 1 - upstream.entry.slots, 0)
     if context.spec.engine is None or not load.runs:
         return places
-    missing = count_missing(load, need, context)
+    missing = count_missing(load, needs, context)
     held_by_one = max(load.tokens / load.runs, 1)
     return max(places, ceil(missing / held_by_one))
--- a/src/cartdale/fleet/upstream_limits.py
+++ b/src/cartdale/fleet/upstream_limits.py
@@ -4,7 +4,7 @@
 from math import isfinite
 
 from cartdale.clock import Clock, Millis
-from cartdale.fleet.choose import ChoiceContext, Need
+from cartdale.fleet.choose import ChoiceContext, RequestNeeds
 from cartdale.fleet.demand import DemandMeter
 from cartdale.fleet.limit_book import LimitBook
 from cartdale.fleet.limit_gate import LimitGate
@@ -54,23 +54,23 @@
         services = self.gate.list_services()
         return self._demand.measure(services, self._clock.now())
 
-    def has_permit(self, upstream: Upstream, need: Need) -> bool:
+    def has_permit(self, upstream: Upstream, needs: RequestNeeds) -> bool:
         """Tell whether a request may be placed at an upstream now."""
         permits = self.gate.find(upstream.entry.upstream)
         if permits is None:
             return True
-        return need.sends and permits.is_free(self._clock.now())
+        return needs.sends and permits.is_free(self._clock.now())
 
-    def reserve(self, upstream: Upstream, need: Need) -> None:
+    def reserve(self, upstream: Upstream, needs: RequestNeeds) -> None:
         """Keep a permit for a request that was placed at an upstream."""
         permits = self.gate.find(upstream.entry.upstream)
-        if permits is not None and need.sends:
+        if permits is not None and needs.sends:
             permits.reserve(self._clock.now())
 
     def foresee(
         self,
         candidates: Collection[Upstream],
-        need: Need,
+        needs: RequestNeeds,
         context: ChoiceContext,
         ahead: int,
     ) -> list[Outlook]:
@@ -88,5 +88,5 @@
             ready_at = permits.next_at(ahead // len(candidates), context.now)
             if ready_at is not None:
                 wait: Millis = ready_at - context.now
-                outlooks.append(foresee_permit(upstream, need, context, wait))
+                outlooks.append(foresee_permit(upstream, needs, context, wait))
         return outlooks
--- a/src/cartdale/relay/admission.py
+++ b/src/cartdale/relay/admission.py
@@ -14,7 +14,7 @@
 
 from cartdale.clock import SECOND_MS, Clock, Millis, seconds
 from cartdale.fleet.candidates import UnavailableReason
-from cartdale.fleet.choose import Need
+from cartdale.fleet.choose import RequestNeeds
 from cartdale.fleet.driver import Fleet
 from cartdale.fleet.outlook import Outlook
 from cartdale.fleet.types import Upstream
@@ -81,7 +81,7 @@
     """
 
     request_id: str
-    need: Need
+    needs: RequestNeeds
     priority: int
     arrived_at: Millis
     until: Millis
@@ -106,7 +106,7 @@
 
     async def place(self, waiting: Waiting) -> Upstream | NoRoom:
         """Wait for room as long as it is likely to come in time."""
-        service = waiting.need.service
+        service = waiting.needs.service
         self._fleet.limits.note_arrival(service)
         queue = self._queues_by_service.setdefault(service, [])
         self._arrivals += 1
@@ -119,33 +119,33 @@
             if queue:
                 self._fleet.notify()
 
-    def delay_return(self, need: Need, least: Millis) -> Millis:
+    def delay_return(self, needs: RequestNeeds, least: Millis) -> Millis:
         """Return when a caller whom upstreams turned away should come back.
 
         :param least: when it should where none of them asked for rest.
         """
-        return max(least, self._outlast(self._fleet.foresee(need, 0).backoff))
+        return max(least, self._outlast(self._fleet.foresee(needs, 0).backoff))
 
     def _outlast(self, backoff: Millis) -> Millis:
         """Return a time after a rest, not the same for all callers."""
         spread = min(backoff * _RETRY_SPREAD, _REST_SPREAD)
         return backoff + int(spread * self._generator.random())
 
-    def _schedule_return(self, need: Need, least: Millis) -> Millis:
+    def _schedule_return(self, needs: RequestNeeds, least: Millis) -> Millis:
         """Return when a caller may come back to upstreams with rate limits.
 
         One after another, as the limits bear them: all that return at the same
         moment would be refused again.
         """
-        rate = self._fleet.limits.gate.find_return_rate(need.service)
+        rate = self._fleet.limits.gate.find_return_rate(needs.service)
         now = self._clock.now()
-        after_last = self._returns_by_service.get(need.service, 0)
+        after_last = self._returns_by_service.get(needs.service, 0)
         after_last += ceil(1 / rate) if rate else 0
         returns_at = max(now + least, after_last)
         if returns_at > now + _RETRY_LONGEST:
             share = 1 - _RETRY_SPREAD * self._generator.random()
             return max(least, int(_RETRY_LONGEST * share))
-        self._returns_by_service[need.service] = returns_at
+        self._returns_by_service[needs.service] = returns_at
         return returns_at - now
 
     async def _wait(
@@ -156,13 +156,13 @@
         while True:
             ahead = queue.index(ticket)
             if not ahead:
-                chosen = self._fleet.choose(waiting.need)
+                chosen = self._fleet.choose(waiting.needs)
                 if chosen is not None:
                     return chosen
             now = self._clock.now()
-            outlook = self._fleet.foresee(waiting.need, ahead)
+            outlook = self._fleet.foresee(waiting.needs, ahead)
             unavailable_reason = self._fleet.find_unavailable_reason(
-                waiting.need
+                waiting.needs
             )
             if unavailable_reason in _NOT_WAITED_FOR:
                 return self._refuse(waiting, outlook, 0, unavailable_reason)
@@ -197,11 +197,11 @@
         bounded = min(max(wait, _RETRY_SHORTEST), _RETRY_LONGEST)
         retry_after = max(bounded, self._outlast(outlook.backoff))
         if unavailable_reason is UnavailableReason.LIMITED:
-            retry_after = self._schedule_return(waiting.need, retry_after)
+            retry_after = self._schedule_return(waiting.needs, retry_after)
         logger.info(
             'no room',
             request=waiting.request_id,
-            service=waiting.need.service,
+            service=waiting.needs.service,
             waited=self._clock.now() - waiting.arrived_at,
             chance=round(chance, 2),
             ends=outlook.ends,
--- a/src/cartdale/relay/attempts.py
+++ b/src/cartdale/relay/attempts.py
@@ -8,7 +8,7 @@
 from loguru import logger
 
 from cartdale.clock import Millis
-from cartdale.fleet.choose import Need
+from cartdale.fleet.choose import RequestNeeds
 from cartdale.fleet.driver import Fleet
 from cartdale.fleet.pace import Pace
 from cartdale.fleet.types import Replaced, RequestEnded, Upstream
@@ -30,8 +30,8 @@
     check_refusal,
     decide,
 )
-from cartdale.relay.needs import make_need
 from cartdale.relay.ports import RelayPorts
+from cartdale.relay.request_needs import make_request_needs
 from cartdale.relay.types import (
     OpenedAnswer,
     RoutedRequest,
@@ -56,9 +56,9 @@
     refusal = await find_refusal(ports, routed)
     if refusal is None:
         quarantine = ports.fleet.quarantine
-        need = make_need(routed, frozenset(tried))
+        needs = make_request_needs(routed, frozenset(tried))
         pace = ports.fleet.pace(routed.service)
-        waiting = _describe_wait(routed, need, pace)
+        waiting = _describe_wait(routed, needs, pace)
         with quarantine.guard(routed.identity):
             return await ports.admission.place(waiting)
         refusal = quarantine.refuse(routed.identity, routed.request.request_id)
@@ -174,7 +174,9 @@
     """Have a caller come back no sooner than anybody can serve it."""
     match step.problem:
         case NotRun(reason=reason, retry_after=least):
-            wait = ports.admission.delay_return(make_need(routed), least)
+            wait = ports.admission.delay_return(
+                make_request_needs(routed), least
+            )
             return GiveUp(NotRun(reason, wait))
     return step
 
@@ -194,7 +196,9 @@
     return Declined(rests=answer.backoff > 0)
 
 
-def _describe_wait(routed: RoutedRequest, need: Need, pace: Pace) -> Waiting:
+def _describe_wait(
+    routed: RoutedRequest, needs: RequestNeeds, pace: Pace
+) -> Waiting:
     """Return until when a request may wait to be answered in time.
 
     The answer must also end before the time limit, and a stream must begin
@@ -203,15 +207,15 @@
     route = routed.route
     begins, ends = pace.answer_time, pace.answer_time
     if route.kind is RouteKind.STREAM:
-        begins = pace.read_time(need.reads)
-        ends = begins + need.expected * pace.token_time
+        begins = pace.read_time(needs.reads)
+        ends = begins + needs.expected * pace.token_time
     until = routed.ends_at - int(ends)
     for bound in (route.target_latency, route.patience):
         if bound:
             until = min(until, routed.arrived_at + bound - int(begins))
     return Waiting(
         request_id=routed.request.request_id,
-        need=need,
+        needs=needs,
         priority=routed.priority,
         arrived_at=routed.arrived_at,
         until=until,
--- a/src/cartdale/relay/needs.py
+++ b/src/cartdale/relay/request_needs.py
@@ -1,6 +1,6 @@
 """What a request takes at an upstream."""
 
-from cartdale.fleet.choose import READING_SHARE, Need
+from cartdale.fleet.choose import READING_SHARE, RequestNeeds
 from cartdale.fleet.loads import Assignment
 from cartdale.fleet.types import UpstreamEntry
 from cartdale.moves.estimates import ends_in_time
@@ -9,15 +9,15 @@
 _NOTHING: frozenset[str] = frozenset()
 
 
-def make_need(
+def make_request_needs(
     routed: RoutedRequest, excluded: frozenset[str] = _NOTHING
-) -> Need:
+) -> RequestNeeds:
     """Return what a request takes at an upstream."""
     request = routed.request
     expected = request.expected_tokens or request.most_tokens // 2
     if request.most_tokens:
         expected = min(expected, request.most_tokens)
-    return Need(
+    return RequestNeeds(
         service=routed.service,
         prompt=request.prompt_tokens,
         reads=request.prompt_tokens,
@@ -35,12 +35,12 @@
 
     :param made: tokens made before it came there.
     """
-    need = make_need(routed)
+    needs = make_request_needs(routed)
     most = routed.request.most_tokens
     return Assignment(
         upstream.upstream,
-        need.prompt,
-        need.expected,
+        needs.prompt,
+        needs.expected,
         made,
         short=bool(most) and ends_in_time(most),
     )
--- a/src/cartdale/relay/targets.py
+++ b/src/cartdale/relay/targets.py
@@ -3,12 +3,12 @@
 from collections.abc import Iterable
 from dataclasses import replace
 
-from cartdale.fleet.choose import Need
+from cartdale.fleet.choose import RequestNeeds
 from cartdale.fleet.driver import Fleet
 from cartdale.fleet.loads import Load
 from cartdale.fleet.types import UpstreamEntry
 from cartdale.moves.estimates import SourceLink
-from cartdale.relay.needs import make_need
+from cartdale.relay.request_needs import make_request_needs
 from cartdale.relay.types import RoutedRequest
 from cartdale.switches import Mechanism
 
@@ -44,7 +44,7 @@
     :param load: what the generation takes at its source.
     :param refused: engines that did not take the copy.
     """
-    need = Need(
+    needs = RequestNeeds(
         service=source.service,
         prompt=load.tokens,
         expected=load.growth,
@@ -55,7 +55,7 @@
         reserved=0,
         among_all=True,
     )
-    chosen = fleet.choose(need, source.failure_domain)
+    chosen = fleet.choose(needs, source.failure_domain)
     return chosen.entry if chosen else None
 
 
@@ -79,16 +79,16 @@
         return None
     if not fleet.switches.has(Mechanism.BACKUPS):
         return None
-    need = make_need(routed, frozenset((source.upstream,)))
-    if need.expected < _BACKUP_WORTH:
+    needs = make_request_needs(routed, frozenset((source.upstream,)))
+    if needs.expected < _BACKUP_WORTH:
         return None
     load = fleet.load_at(source.upstream)
     awaiting_copy = int(load.share_awaiting_copy * load.tokens)
     movable = SourceLink(spec.engine).carries_all(awaiting_copy)
-    if movable and fleet.filled_share(need) > _SERVICE_FILLED:
+    if movable and fleet.filled_share(needs) > _SERVICE_FILLED:
         return None
     copied = replace(
-        need, reads=0, read_within=0, filled=_BACKUP_FILLED, sends=False
+        needs, reads=0, read_within=0, filled=_BACKUP_FILLED, sends=False
     )
     chosen = fleet.choose(copied)
     return chosen.entry if chosen else None
--- a/tests/fault_soak/mutants.py
+++ b/tests/fault_soak/mutants.py
@@ -60,12 +60,12 @@
 def ignore_drain() -> None:
     """Send new work to upstreams that leave."""
 
-    def list_candidates(state, need):
+    def list_candidates(state, needs):
         return [
             upstream
             for name, upstream in state.upstreams_by_id.items()
-            if upstream.entry.service == need.service
-            and name not in need.excluded
+            if upstream.entry.service == needs.service
+            and name not in needs.excluded
         ]
 
     driver.list_candidates = list_candidates
--- a/tests/load/crowd.py
+++ b/tests/load/crowd.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from cartdale.fleet.choose import ChoiceContext, Need, choose
+from cartdale.fleet.choose import ChoiceContext, RequestNeeds, choose
 from cartdale.fleet.loads import Load
 from cartdale.fleet.pace import Pace, Progress, learn
 from cartdale.fleet.types import Lifecycle, Upstream, UpstreamEntry
@@ -243,14 +243,14 @@
             self._reading,
             choices=self._deployment.choices,
         )
-        need = Need(
+        needs = RequestNeeds(
             's',
             waiting.prompt,
             waiting.hint,
             waiting.prompt,
             int(_READING_SHARE * kind.target),
         )
-        chosen = self._pick(self._upstreams, need, around, self._random)
+        chosen = self._pick(self._upstreams, needs, around, self._random)
         if chosen is None:
             return False
         engine = int(chosen.entry.upstream)
--- a/tests/load/herd.py
+++ b/tests/load/herd.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from cartdale.fleet.choose import ChoiceContext, Need, choose
+from cartdale.fleet.choose import ChoiceContext, RequestNeeds, choose
 from cartdale.fleet.loads import Load
 from cartdale.fleet.pace import Pace
 from cartdale.fleet.types import Lifecycle, Upstream, UpstreamEntry
@@ -109,7 +109,7 @@
         else:
             prompt, expected = self._draw(2200, 0.6), 12
         told_at = now - self._random.uniform(60, self._oldest)
-        need = Need('s', prompt, expected, prompt, 900)
+        needs = RequestNeeds('s', prompt, expected, prompt, 900)
         around = ChoiceContext(
             SPEC,
             self._look(told_at),
@@ -118,7 +118,7 @@
             Pace(READ_RATE, TOKEN_TIME),
             choices=self._choices,
         )
-        chosen = choose(self._upstreams, need, around, self._random)
+        chosen = choose(self._upstreams, needs, around, self._random)
         upstream = (chosen or self._upstreams[0]).entry.upstream
         begins = max(self._read_until.get(upstream, 0), now)
         read_at = begins + prompt / READ_RATE
--- a/tests/load/test_cold_upstreams.py
+++ b/tests/load/test_cold_upstreams.py
@@ -15,7 +15,7 @@
 
 from cartdale.clock import VirtualClock
 from cartdale.fleet.advisories import AdvisoryRecorder
-from cartdale.fleet.choose import Need
+from cartdale.fleet.choose import RequestNeeds
 from cartdale.fleet.cold import ColdBound, ColdGate, find_quota
 from cartdale.fleet.division import Sharers
 from cartdale.fleet.driver import Fleet
@@ -182,7 +182,7 @@
     """Return how many choices fell on each upstream in one moment."""
     counts: dict[str, int] = {}
     for _ in range(times):
-        chosen = fleet.choose(Need('s', prompt=10, expected=10))
+        chosen = fleet.choose(RequestNeeds('s', prompt=10, expected=10))
         if chosen is not None:
             name = chosen.entry.upstream
             counts[name] = counts.get(name, 0) + 1
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -11,7 +11,7 @@
 from cartdale.clock import SystemClock, VirtualClock
 from cartdale.codec import decode_binary, encode_binary, encode_json
 from cartdale.fleet.candidates import is_closed, list_candidates
-from cartdale.fleet.choose import Need
+from cartdale.fleet.choose import RequestNeeds
 from cartdale.fleet.decide import decide
 from cartdale.fleet.driver import Fleet
 from cartdale.fleet.evacuation import (
@@ -60,7 +60,7 @@
 from tests.test_follow import ScriptedStore
 from tests.test_targets import SOURCE, make_routed
 
-NEED = Need('s', prompt=100, expected=100, reads=100)
+NEED = RequestNeeds('s', prompt=100, expected=100, reads=100)
 BEGUN = Evacuation('west', 7)
 ENDED = Evacuation('west', 9, active=False)
 AGAIN = Evacuation('west', 12)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -7,7 +7,7 @@
 from cartdale.fleet.candidates import list_candidates
 from cartdale.fleet.choose import (
     ChoiceContext,
-    Need,
+    RequestNeeds,
     choose,
 )
 from cartdale.fleet.decide import (
@@ -60,10 +60,12 @@
     return decide(FleetState(), EntriesListed(entries), 0)[0]
 
 
-def pick(state: FleetState, need: Need, loads=None, now=0, domain='west'):
+def pick(
+    state: FleetState, needs: RequestNeeds, loads=None, now=0, domain='west'
+):
     around = ChoiceContext(SPEC, loads or {}, domain, now)
-    candidates = list_candidates(state, need)
-    chosen = choose(candidates, need, around, Random(1))
+    candidates = list_candidates(state, needs)
+    chosen = choose(candidates, needs, around, Random(1))
     return chosen.entry.upstream if chosen else None
 
 
@@ -80,18 +82,18 @@
     said = EntryWritten(make_entry('a', lifecycle=Lifecycle.LEAVING))
     state, _ = decide(make_fleet('a'), said, 5)
     state, _ = decide(state, EntryWritten(make_entry('a')), 6)
-    assert pick(state, Need('s')) is None
+    assert pick(state, RequestNeeds('s')) is None
     state, _ = decide(state, EntryRemoved('a'), 7)
     state, _ = decide(state, EntryWritten(make_entry('a')), 10**5)
-    assert pick(state, Need('s')) is None
+    assert pick(state, RequestNeeds('s')) is None
 
 
 def test_missing_upstream_takes_no_work_until_its_entry_is_back() -> None:
     state, _ = decide(make_fleet('a'), EntryRemoved('a'), 5)
-    assert pick(state, Need('s')) is None
+    assert pick(state, RequestNeeds('s')) is None
     state, actions = decide(state, EntryWritten(make_entry('a')), 900)
     assert actions == (Returned('a'),)
-    assert pick(state, Need('s')) == 'a'
+    assert pick(state, RequestNeeds('s')) == 'a'
 
 
 def test_peers_that_are_behind_neither_take_away_nor_bring_back() -> None:
@@ -99,19 +101,19 @@
     gone = EntryRemoved('a', heard=True)
     state, _ = decide(make_fleet('a'), EntryRemoved('a'), 5)
     early, _ = decide(state, back, 4 + HEARD_AFTER_MS)
-    assert pick(early, Need('s')) is None
+    assert pick(early, RequestNeeds('s')) is None
     state, _ = decide(state, back, 5 + HEARD_AFTER_MS)
-    assert pick(state, Need('s')) == 'a'
+    assert pick(state, RequestNeeds('s')) == 'a'
     state, _ = decide(state, gone, 6 + HEARD_AFTER_MS)
-    assert pick(state, Need('s')) == 'a'
+    assert pick(state, RequestNeeds('s')) == 'a'
     state, _ = decide(state, gone, 5 + 2 * HEARD_AFTER_MS)
-    assert pick(state, Need('s')) is None
+    assert pick(state, RequestNeeds('s')) is None
 
 
 def test_entry_removed_in_an_outage_lapses_and_may_come_back() -> None:
     state, actions = decide(make_fleet('a'), EntryRemoved('a', True), 5)
     assert not actions
-    assert pick(state, Need('s')) == 'a'
+    assert pick(state, RequestNeeds('s')) == 'a'
     back, _ = decide(state, EntryWritten(make_entry('a')), 50)
     assert back.upstreams_by_id['a'].lifecycle is Lifecycle.LIVE
 
@@ -144,21 +146,21 @@
     state, _ = decide(state, unreachable, 1000)
     assert state.upstreams_by_id['a'].avoided_until == 2000
     full = {'b': Load(runs=3, tokens=9000)}
-    assert pick(state, Need('s'), full, now=1500) == 'b'
-    assert pick(state, Need('s'), full, now=2500) == 'a'
+    assert pick(state, RequestNeeds('s'), full, now=1500) == 'b'
+    assert pick(state, RequestNeeds('s'), full, now=2500) == 'a'
 
 
 def test_only_upstream_is_used_though_it_was_unreachable() -> None:
     unreachable = RequestEnded('a', good=False, reached=False)
     state, _ = decide(make_fleet('a'), unreachable, 1000)
-    assert pick(state, Need('s'), now=1001) == 'a'
+    assert pick(state, RequestNeeds('s'), now=1001) == 'a'
 
 
 def test_failing_upstream_is_chosen_after_others() -> None:
     state = make_fleet('a', 'b')
     for _ in range(5):
         state, _ = decide(state, RequestEnded('a', good=False), 1000)
-    assert pick(state, Need('s')) == 'b'
+    assert pick(state, RequestNeeds('s')) == 'b'
 
 
 @pytest.mark.parametrize(
@@ -172,24 +174,24 @@
     ],
 )
 def test_room_is_memory_slots_and_reading(load: Load, fits: bool) -> None:
-    need = Need('s', 1000, 500, reads=1000, read_within=1000)
-    chosen = pick(make_fleet('a'), need, {'a': load})
+    needs = RequestNeeds('s', 1000, 500, reads=1000, read_within=1000)
+    chosen = pick(make_fleet('a'), needs, {'a': load})
     assert (chosen == 'a') is fits
 
 
 def test_request_larger_than_the_share_goes_to_an_empty_engine() -> None:
-    assert pick(make_fleet('a'), Need('s', 9800, 500)) == 'a'
+    assert pick(make_fleet('a'), RequestNeeds('s', 9800, 500)) == 'a'
 
 
 def test_least_filled_engine_is_chosen_and_near_ones_first() -> None:
     loads = {'a': Load(runs=1, tokens=4000), 'b': Load(runs=1, tokens=1000)}
-    assert pick(make_fleet('a', 'b'), Need('s', 100, 10), loads) == 'b'
+    assert pick(make_fleet('a', 'b'), RequestNeeds('s', 100, 10), loads) == 'b'
     far = make_fleet('a')
     far, _ = decide(far, EntryWritten(make_entry('b')), 1)
     far, _ = decide(
         far, EntryWritten(make_entry('a', failure_domain='east')), 1
     )
-    assert pick(far, Need('s', 100, 10), now=5) == 'b'
+    assert pick(far, RequestNeeds('s', 100, 10), now=5) == 'b'
 
 
 def test_assignment_expects_more_the_longer_it_runs() -> None:
@@ -219,9 +221,9 @@
 
 def test_move_asks_only_for_the_memory_held_now() -> None:
     loads = {'a': Load(runs=1, tokens=6000, growth=3000, reading=9000)}
-    need = Need('s', 3500, 500, reads=3500, read_within=1000)
-    assert pick(make_fleet('a'), need, loads) is None
-    moving = Need('s', 3500, 500, filled=1, reserved=0)
+    needs = RequestNeeds('s', 3500, 500, reads=3500, read_within=1000)
+    assert pick(make_fleet('a'), needs, loads) is None
+    moving = RequestNeeds('s', 3500, 500, filled=1, reserved=0)
     assert pick(make_fleet('a'), moving, loads) == 'a'
 
 
@@ -244,10 +246,10 @@
         name: Load(runs=1, tokens=1000 + 10 * number)
         for number, name in enumerate(names)
     }
-    need = Need('s', prompt=100)
+    needs = RequestNeeds('s', prompt=100)
     around = ChoiceContext(SPEC, loads, 'west', 0)
     chosen = {
-        choose(list_candidates(state, need), need, around, Random(seed))
+        choose(list_candidates(state, needs), needs, around, Random(seed))
         for seed in range(20)
     }
     assert len(chosen) > 5
@@ -259,17 +261,17 @@
     full = Load(runs=4, tokens=10)
     loads = dict.fromkeys(names, full)
     loads['u22'] = Load()
-    assert pick(state, Need('s', prompt=100), loads) == 'u22'
+    assert pick(state, RequestNeeds('s', prompt=100), loads) == 'u22'
 
 
 def test_upstream_that_others_can_not_reach_is_avoided_for_a_while() -> None:
     state = make_fleet('a', 'b')
-    need = Need('s')
+    needs = RequestNeeds('s')
     loads = {'b': Load(runs=3)}
-    assert pick(state, need, loads) == 'a'
+    assert pick(state, needs, loads) == 'a'
     state, _ = decide(state, ToldFailing('a'), 0)
-    assert pick(state, need, loads) == 'b'
-    assert pick(state, need, loads, now=TOLD_AVOIDED_MS) == 'a'
+    assert pick(state, needs, loads) == 'b'
+    assert pick(state, needs, loads, now=TOLD_AVOIDED_MS) == 'a'
     assert state.upstreams_by_id['a'].unreachable_until == 0
 
 
--- a/tests/test_limited_admission.py
+++ b/tests/test_limited_admission.py
@@ -4,7 +4,7 @@
 import trio
 
 from cartdale.clock import Millis, SystemClock
-from cartdale.fleet.choose import Need
+from cartdale.fleet.choose import RequestNeeds
 from cartdale.fleet.driver import Fleet
 from cartdale.fleet.limit_gate import LimitSharers
 from cartdale.fleet.rate_limits import RateLimit
@@ -12,7 +12,7 @@
 from cartdale.relay.admission import Admission, NoRoom, Waiting
 from tests.test_fleet import make_entry
 
-NEED = Need('s')
+NEED = RequestNeeds('s')
 #: The only instance, and one of two that hear nothing of each other.
 ALONE = LimitSharers('i', '', {'': None}, {'i': None})
 SIZE = 300
--- a/tests/test_outlook.py
+++ b/tests/test_outlook.py
@@ -5,7 +5,7 @@
 
 from cartdale.clock import SystemClock
 from cartdale.fleet.candidates import list_candidates
-from cartdale.fleet.choose import ChoiceContext, Need
+from cartdale.fleet.choose import ChoiceContext, RequestNeeds
 from cartdale.fleet.driver import Fleet
 from cartdale.fleet.loads import Load
 from cartdale.fleet.outlook import Outlook, foresee
@@ -14,15 +14,17 @@
 from cartdale.routes.types import RoutingTable
 from tests.test_fleet import SPEC, make_entry, make_fleet
 
-NEED = Need('s', prompt=900, expected=100, reads=900)
+NEED = RequestNeeds('s', prompt=900, expected=100, reads=900)
 #: Four runs of 2,400 tokens fill an engine of 10,000.
 FULL = Load(runs=4, tokens=9600, growth=400, long=4)
 
 
-def look(loads: dict[str, Load], need: Need = NEED, ahead: int = 0) -> Outlook:
+def look(
+    loads: dict[str, Load], needs: RequestNeeds = NEED, ahead: int = 0
+) -> Outlook:
     state = make_fleet(*sorted(loads), slots=64)
     around = ChoiceContext(SPEC, loads, 'west', 0)
-    return foresee(list_candidates(state, need), need, around, ahead)
+    return foresee(list_candidates(state, needs), needs, around, ahead)
 
 
 def test_room_that_is_there_needs_no_end() -> None:
@@ -58,8 +60,8 @@
 
 
 def test_prompts_that_wait_are_read_for_sure() -> None:
-    need = Need('s', 900, 100, reads=900, read_within=1000)
-    outlook = look({'a': Load(runs=2, tokens=9, reading=9100)}, need)
+    needs = RequestNeeds('s', 900, 100, reads=900, read_within=1000)
+    outlook = look({'a': Load(runs=2, tokens=9, reading=9100)}, needs)
     assert outlook.ends == 0
     assert outlook.chance(outlook.reading - 1) == 0
     assert outlook.chance(outlook.reading) == 1
--- a/tests/test_pace.py
+++ b/tests/test_pace.py
@@ -5,15 +5,15 @@
 import pytest
 
 from cartdale.fleet.candidates import list_candidates
-from cartdale.fleet.choose import ChoiceContext, Need, choose
+from cartdale.fleet.choose import ChoiceContext, RequestNeeds, choose
 from cartdale.fleet.loads import Load
 from cartdale.fleet.pace import Pace, Progress, learn
 from cartdale.fleet.reading import ReadingShares
 from tests.test_fleet import SPEC, make_fleet, pick
 
 #: A short answer to a long prompt, and a long generation.
-TAG = Need('s', 900, 12, reads=900)
-DRAFT = Need('s', 900, 900, reads=900)
+TAG = RequestNeeds('s', 900, 12, reads=900)
+DRAFT = RequestNeeds('s', 900, 900, reads=900)
 #: Generations that it takes until a deployment's own figures hold.
 SEEN = 60
 
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -7,7 +7,7 @@
 from cartdale.clock import VirtualClock
 from cartdale.exceptions import BadInputError
 from cartdale.fleet.candidates import is_closed, list_candidates
-from cartdale.fleet.choose import Need
+from cartdale.fleet.choose import RequestNeeds
 from cartdale.fleet.decide import decide
 from cartdale.fleet.driver import Fleet
 from cartdale.fleet.evacuation import Evacuation
@@ -15,7 +15,7 @@
 from cartdale.fleet.types import EntriesListed, EvacuationsTold, FleetState
 from cartdale.platform.documents import decode_table
 from cartdale.platform.settings import parse_platform_settings
-from cartdale.relay.needs import make_need
+from cartdale.relay.request_needs import make_request_needs
 from cartdale.relay.targets import choose_backup, choose_target
 from cartdale.routes.match import find_regions
 from cartdale.routes.places import Places
@@ -84,17 +84,17 @@
 
 def test_only_upstreams_there_are_candidates() -> None:
     state = make_state()
-    need = Need('s', domains=NORTH)
-    names = [each.entry.upstream for each in list_candidates(state, need)]
+    needs = RequestNeeds('s', domains=NORTH)
+    names = [each.entry.upstream for each in list_candidates(state, needs)]
     assert names == ['a1', 'a2']
-    assert len(list_candidates(state, Need('s'))) == 4
+    assert len(list_candidates(state, RequestNeeds('s'))) == 4
 
 
 def test_evacuated_home_is_not_left() -> None:
     told = (Evacuation('a1', 4), Evacuation('a2', 5))
     state, _ = decide(make_state(), EvacuationsTold(told), 0)
-    assert is_closed(state, Need('s', domains=NORTH))
-    assert not is_closed(state, Need('s'))
+    assert is_closed(state, RequestNeeds('s', domains=NORTH))
+    assert not is_closed(state, RequestNeeds('s'))
 
 
 def test_moves_and_backups_stay_there() -> None:
@@ -103,7 +103,7 @@
     fleet.state = make_state()
     source = fleet.state.upstreams_by_id['a1'].entry
     routed = make_routed(900, domains=NORTH)
-    assert make_need(routed).domains == NORTH
+    assert make_request_needs(routed).domains == NORTH
     for _ in range(20):
         target = choose_target(fleet, routed, Load(1, 300), source, ())
         assert target.upstream == 'a2'
--- a/tests/test_rests.py
+++ b/tests/test_rests.py
@@ -21,7 +21,7 @@
 from cartdale.clock import SystemClock, VirtualClock
 from cartdale.fleet.advisories import AdvisoryRecorder
 from cartdale.fleet.candidates import count_unavailable
-from cartdale.fleet.choose import Need
+from cartdale.fleet.choose import RequestNeeds
 from cartdale.fleet.decide import decide
 from cartdale.fleet.driver import Fleet
 from cartdale.fleet.types import (
@@ -231,28 +231,30 @@
 
 def test_shortage_names_what_keeps_a_request_waiting() -> None:
     clock = VirtualClock()
-    need = Need('s')
-    assert make_resting(clock, 900, 0).find_unavailable_reason(need) == 'full'
+    needs = RequestNeeds('s')
+    assert make_resting(clock, 900, 0).find_unavailable_reason(needs) == 'full'
     resting = make_resting(clock, 900, 800)
-    assert resting.find_unavailable_reason(need) == 'resting'
-    assert resting.choose(need) is None
+    assert resting.find_unavailable_reason(needs) == 'resting'
+    assert resting.choose(needs) is None
     for name in ('u0', 'u1'):
         resting.tell(SaidLeaving(name))
-    assert resting.find_unavailable_reason(need) == 'leaving'
-    assert make_resting(clock).find_unavailable_reason(need) == 'missing'
-    tried = replace(need, excluded=frozenset(('u0',)))
+    assert resting.find_unavailable_reason(needs) == 'leaving'
+    assert make_resting(clock).find_unavailable_reason(needs) == 'missing'
+    tried = replace(needs, excluded=frozenset(('u0',)))
     assert make_resting(clock, 0).find_unavailable_reason(tried) == 'missing'
 
 
 def test_the_first_rest_that_ends_is_foreseen() -> None:
     clock = VirtualClock()
-    outlook = make_resting(clock, 900, 800).foresee(Need('s'), 0)
+    outlook = make_resting(clock, 900, 800).foresee(RequestNeeds('s'), 0)
     assert (outlook.backoff, outlook.expected_wait()) == (800, 800)
     assert outlook.chance(799) == 0
     assert outlook.chance(800) == 1
     # Two places: the third waits for an end besides.
-    assert make_resting(clock, 900).foresee(Need('s'), 1).chance(900) == 1
-    assert make_resting(clock, 900).foresee(Need('s'), 2).ends == 1
+    assert (
+        make_resting(clock, 900).foresee(RequestNeeds('s'), 1).chance(900) == 1
+    )
+    assert make_resting(clock, 900).foresee(RequestNeeds('s'), 2).ends == 1
 
 
 async def test_nobody_is_told_to_return_before_a_long_rest_ends() -> None:
@@ -262,7 +264,7 @@
     now = clock.now()
     waits = []
     for number in range(50):
-        waiting = Waiting(f'r{number}', Need('s'), 0, now, now + 2000)
+        waiting = Waiting(f'r{number}', RequestNeeds('s'), 0, now, now + 2000)
         refused = await admission.place(waiting)
         assert isinstance(refused, NoRoom)
         waits.append(refused.retry_after)
