--- a/src/cartdale/fleet/driver.py
+++ b/src/cartdale/fleet/driver.py
@@ -26,7 +26,6 @@
 from cartdale.fleet.decide import decide
 from cartdale.fleet.evacuation import Evacuation, may_finish_move
 from cartdale.fleet.loads import Load, LoadBook
-from cartdale.fleet.outlook import Outlook, foresee, foresee_end_of_rest
 from cartdale.fleet.pace import Pace, Progress, learn, learn_answer
 from cartdale.fleet.reading import ReadingShares
 from cartdale.fleet.types import (
@@ -42,6 +41,11 @@
     UpstreamEntry,
 )
 from cartdale.fleet.upstream_limits import UpstreamLimits
+from cartdale.fleet.wait_forecast import (
+    WaitForecast,
+    forecast_after_backoff,
+    forecast_wait,
+)
 from cartdale.formatting import list_plain_fields
 from cartdale.quarantine.driver import Quarantine
 from cartdale.routes.types import RoutingTable, ServiceSpec
@@ -206,7 +210,7 @@
             self.cold_gate.note(name, now)
         return True
 
-    def foresee(self, needs: RequestNeeds, ahead: int) -> Outlook:
+    def forecast_wait(self, needs: RequestNeeds, ahead: int) -> WaitForecast:
         """Return when a request finds room.
 
         :param ahead: requests that are served before it.
@@ -226,16 +230,16 @@
             for each in self._list_allowed(needs, context)
             if not each.rate_limit.limited
         ]
-        outlook = foresee(unlimited, needs, context, ahead)
-        later = self.limits.foresee(limited, needs, context, ahead)
+        forecast = forecast_wait(unlimited, needs, context, ahead)
+        later = self.limits.forecast_wait(limited, needs, context, ahead)
         if resting:
-            later.append(foresee_end_of_rest(resting, needs, context, ahead))
+            later.append(forecast_after_backoff(resting, needs, context, ahead))
         if not later:
-            return outlook
+            return forecast
         if not unlimited:
             first = min(later, key=_expect)
             return replace(first, backoff=first.reading)
-        return min(outlook, *later, key=_expect)
+        return min(forecast, *later, key=_expect)
 
     def filled_share(self, needs: RequestNeeds) -> float:
         """Return how full the engines are that could serve a request.
@@ -338,9 +342,9 @@
     return state.upstreams_by_id.get(action.upstream)
 
 
-def _expect(outlook: Outlook) -> float:
+def _expect(forecast: WaitForecast) -> float:
     """Return the mean wait that an outlook gives, to choose the shorter."""
-    wait = outlook.expected_wait()
+    wait = forecast.expected_wait()
     return inf if wait is None else wait
 
 
--- a/src/cartdale/fleet/upstream_limits.py
+++ b/src/cartdale/fleet/upstream_limits.py
@@ -8,7 +8,6 @@
 from cartdale.fleet.demand import DemandMeter
 from cartdale.fleet.limit_book import LimitBook
 from cartdale.fleet.limit_gate import LimitGate
-from cartdale.fleet.outlook import Outlook, foresee_permit
 from cartdale.fleet.types import (
     Action,
     LimitChanged,
@@ -16,6 +15,7 @@
     Upstream,
     Vanished,
 )
+from cartdale.fleet.wait_forecast import WaitForecast, forecast_with_permit
 
 
 class UpstreamLimits:
@@ -67,19 +67,19 @@
         if permits is not None and needs.sends:
             permits.reserve(self._clock.now())
 
-    def foresee(
+    def forecast_wait(
         self,
         candidates: Collection[Upstream],
         needs: RequestNeeds,
         context: ChoiceContext,
         ahead: int,
-    ) -> list[Outlook]:
+    ) -> list[WaitForecast]:
         """Return when a request finds room at upstreams with limits.
 
         :param candidates: those that take new work.
         :param ahead: requests that are served before it.
         """
-        outlooks: list[Outlook] = []
+        forecasts: list[WaitForecast] = []
         for upstream in candidates:
             permits = self.gate.find(upstream.entry.upstream)
             if permits is None:
@@ -88,5 +88,7 @@
             ready_at = permits.next_at(ahead // len(candidates), context.now)
             if ready_at is not None:
                 wait: Millis = ready_at - context.now
-                outlooks.append(foresee_permit(upstream, needs, context, wait))
-        return outlooks
+                forecasts.append(
+                    forecast_with_permit(upstream, needs, context, wait)
+                )
+        return forecasts
--- a/src/cartdale/fleet/outlook.py
+++ b/src/cartdale/fleet/wait_forecast.py
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Outlook:
+class WaitForecast:
     """Say what must happen before there is room.
 
     :param ends: requests that must end.
@@ -36,8 +36,8 @@
     :param reading: longest time until prompts that wait at the best engine
         are read, beyond what a request may wait for that; and until something
         may be sent, where that is not now.
-    :param backoff: time until something may be sent, where all upstreams rest or
-        have had this instance's part of their limit.
+    :param backoff: time until something may be sent, where all upstreams
+        rest or have had this instance's part of their limit.
     """
 
     ends: int
@@ -70,12 +70,12 @@
         return self.reading + ceil(self.ends / self.rate)
 
 
-def foresee(
+def forecast_wait(
     candidates: Iterable[Upstream],
     needs: RequestNeeds,
     context: ChoiceContext,
     ahead: int,
-) -> Outlook:
+) -> WaitForecast:
     """Return when a request finds room.
 
     :param ahead: requests like it that are served before it.
@@ -90,16 +90,16 @@
         if best is None or found < best:
             best = found
     if best is None:
-        return Outlook(ends=ahead + 1, rate=0)
-    return Outlook(best[0] + ahead, rate, best[1])
+        return WaitForecast(ends=ahead + 1, rate=0)
+    return WaitForecast(best[0] + ahead, rate, best[1])
 
 
-def foresee_end_of_rest(
+def forecast_after_backoff(
     resting: Collection[Upstream],
     needs: RequestNeeds,
     context: ChoiceContext,
     ahead: int,
-) -> Outlook:
+) -> WaitForecast:
     """Return when a request finds room where the first rest ends.
 
     :param resting: upstreams that rest, at least one.
@@ -109,21 +109,21 @@
     backoff = first.backoff_until - context.now
     load = context.loads_by_upstream.get(first.entry.upstream, Load())
     places = max(first.entry.slots - load.runs - 1, 0)
-    found = foresee((first,), needs, context, max(ahead - places, 0))
+    found = forecast_wait((first,), needs, context, max(ahead - places, 0))
     return replace(found, reading=found.reading + backoff)
 
 
-def foresee_permit(
+def forecast_with_permit(
     upstream: Upstream,
     needs: RequestNeeds,
     context: ChoiceContext,
     wait: Millis,
-) -> Outlook:
+) -> WaitForecast:
     """Return when a request finds room where its upstream is rate limited.
 
     :param wait: time until this instance may send it there.
     """
-    found = foresee((upstream,), needs, context, 0)
+    found = forecast_wait((upstream,), needs, context, 0)
     return replace(found, reading=found.reading + wait)
 
 
--- a/src/cartdale/relay/admission.py
+++ b/src/cartdale/relay/admission.py
@@ -16,8 +16,8 @@
 from cartdale.fleet.candidates import UnavailableReason
 from cartdale.fleet.choose import RequestNeeds
 from cartdale.fleet.driver import Fleet
-from cartdale.fleet.outlook import Outlook
 from cartdale.fleet.types import Upstream
+from cartdale.fleet.wait_forecast import WaitForecast
 from cartdale.problems.types import NotRunReason
 from cartdale.switches import Mechanism
 
@@ -124,7 +124,9 @@
 
         :param least: when it should where none of them asked for rest.
         """
-        return max(least, self._outlast(self._fleet.foresee(needs, 0).backoff))
+        return max(
+            least, self._outlast(self._fleet.forecast_wait(needs, 0).backoff)
+        )
 
     def _outlast(self, backoff: Millis) -> Millis:
         """Return a time after a rest, not the same for all callers."""
@@ -160,25 +162,25 @@
                 if chosen is not None:
                     return chosen
             now = self._clock.now()
-            outlook = self._fleet.foresee(waiting.needs, ahead)
+            forecast = self._fleet.forecast_wait(waiting.needs, ahead)
             unavailable_reason = self._fleet.find_unavailable_reason(
                 waiting.needs
             )
             if unavailable_reason in _NOT_WAITED_FOR:
-                return self._refuse(waiting, outlook, 0, unavailable_reason)
+                return self._refuse(waiting, forecast, 0, unavailable_reason)
             until = waiting.until
-            if outlook.expected_wait() is None:
+            if forecast.expected_wait() is None:
                 until = min(
                     until, began + _find_unknown_wait(unavailable_reason)
                 )
                 chance = float(now < until)
             else:
-                chance = outlook.chance(until - now)
+                chance = forecast.chance(until - now)
             if not self._fleet.switches.has(Mechanism.FORECAST):
                 chance = 1
             if now >= until or chance < least_chance:
                 return self._refuse(
-                    waiting, outlook, chance, unavailable_reason
+                    waiting, forecast, chance, unavailable_reason
                 )
             least_chance = _LEAST_CHANCE_LEFT
             with trio.move_on_after(seconds(min(until - now, _LOOK_EVERY))):
@@ -187,15 +189,15 @@
     def _refuse(
         self,
         waiting: Waiting,
-        outlook: Outlook,
+        forecast: WaitForecast,
         chance: float,
         unavailable_reason: UnavailableReason,
     ) -> NoRoom:
-        expected = outlook.expected_wait()
+        expected = forecast.expected_wait()
         wait = _UNKNOWN_RETRY if expected is None else expected
         wait += int(wait * _RETRY_SPREAD * self._generator.random())
         bounded = min(max(wait, _RETRY_SHORTEST), _RETRY_LONGEST)
-        retry_after = max(bounded, self._outlast(outlook.backoff))
+        retry_after = max(bounded, self._outlast(forecast.backoff))
         if unavailable_reason is UnavailableReason.LIMITED:
             retry_after = self._schedule_return(waiting.needs, retry_after)
         logger.info(
@@ -204,8 +206,8 @@
             service=waiting.needs.service,
             waited=self._clock.now() - waiting.arrived_at,
             chance=round(chance, 2),
-            ends=outlook.ends,
-            reading=outlook.reading,
+            ends=forecast.ends,
+            reading=forecast.reading,
             expected_wait=expected,
             retry_after=retry_after,
             shortage=unavailable_reason,
--- a/tests/test_outlook.py
+++ b/tests/test_outlook.py
@@ -8,8 +8,8 @@
 from cartdale.fleet.choose import ChoiceContext, RequestNeeds
 from cartdale.fleet.driver import Fleet
 from cartdale.fleet.loads import Load
-from cartdale.fleet.outlook import Outlook, foresee
 from cartdale.fleet.types import EntriesListed
+from cartdale.fleet.wait_forecast import WaitForecast, forecast_wait
 from cartdale.relay.admission import Admission, NoRoom, Waiting
 from cartdale.routes.types import RoutingTable
 from tests.test_fleet import SPEC, make_entry, make_fleet
@@ -21,26 +21,26 @@
 
 def look(
     loads: dict[str, Load], needs: RequestNeeds = NEED, ahead: int = 0
-) -> Outlook:
+) -> WaitForecast:
     state = make_fleet(*sorted(loads), slots=64)
     around = ChoiceContext(SPEC, loads, 'west', 0)
-    return foresee(list_candidates(state, needs), needs, around, ahead)
+    return forecast_wait(list_candidates(state, needs), needs, around, ahead)
 
 
 def test_room_that_is_there_needs_no_end() -> None:
-    outlook = look({'a': FULL, 'b': Load(runs=1, tokens=900, growth=100)})
-    assert outlook.ends == 0
-    assert outlook.chance(0) == 1
-    assert outlook.expected_wait() == 0
+    forecast = look({'a': FULL, 'b': Load(runs=1, tokens=900, growth=100)})
+    assert forecast.ends == 0
+    assert forecast.chance(0) == 1
+    assert forecast.expected_wait() == 0
 
 
 def test_ends_come_at_the_rate_of_what_is_left_to_make() -> None:
     # Each of four makes 100 tokens more, at 9 ms a token.
-    outlook = look({'a': FULL})
-    assert outlook.ends == 1
-    assert outlook.rate == pytest.approx(4 / 900)
-    assert outlook.expected_wait() == 225
-    assert outlook.chance(225) == pytest.approx(0.632, abs=0.01)
+    forecast = look({'a': FULL})
+    assert forecast.ends == 1
+    assert forecast.rate == pytest.approx(4 / 900)
+    assert forecast.expected_wait() == 225
+    assert forecast.chance(225) == pytest.approx(0.632, abs=0.01)
 
 
 def test_those_ahead_are_served_before() -> None:
@@ -54,23 +54,23 @@
 
 
 def test_nothing_is_foreseen_without_upstreams() -> None:
-    outlook = look({})
-    assert outlook.expected_wait() is None
-    assert outlook.chance(10**6) == 0
+    forecast = look({})
+    assert forecast.expected_wait() is None
+    assert forecast.chance(10**6) == 0
 
 
 def test_prompts_that_wait_are_read_for_sure() -> None:
     needs = RequestNeeds('s', 900, 100, reads=900, read_within=1000)
-    outlook = look({'a': Load(runs=2, tokens=9, reading=9100)}, needs)
-    assert outlook.ends == 0
-    assert outlook.chance(outlook.reading - 1) == 0
-    assert outlook.chance(outlook.reading) == 1
+    forecast = look({'a': Load(runs=2, tokens=9, reading=9100)}, needs)
+    assert forecast.ends == 0
+    assert forecast.chance(forecast.reading - 1) == 0
+    assert forecast.chance(forecast.reading) == 1
 
 
 @pytest.mark.parametrize('ends', range(1, 6))
 def test_chance_grows_with_time(ends: int) -> None:
-    outlook = Outlook(ends, rate=0.002)
-    chances = [outlook.chance(within) for within in range(0, 20000, 500)]
+    forecast = WaitForecast(ends, rate=0.002)
+    chances = [forecast.chance(within) for within in range(0, 20000, 500)]
     assert chances == sorted(chances)
     assert chances[0] == pytest.approx(0)
     assert chances[-1] > 0.99
--- a/tests/test_rests.py
+++ b/tests/test_rests.py
@@ -246,15 +246,18 @@
 
 def test_the_first_rest_that_ends_is_foreseen() -> None:
     clock = VirtualClock()
-    outlook = make_resting(clock, 900, 800).foresee(RequestNeeds('s'), 0)
-    assert (outlook.backoff, outlook.expected_wait()) == (800, 800)
-    assert outlook.chance(799) == 0
-    assert outlook.chance(800) == 1
+    forecast = make_resting(clock, 900, 800).forecast_wait(RequestNeeds('s'), 0)
+    assert (forecast.backoff, forecast.expected_wait()) == (800, 800)
+    assert forecast.chance(799) == 0
+    assert forecast.chance(800) == 1
     # Two places: the third waits for an end besides.
     assert (
-        make_resting(clock, 900).foresee(RequestNeeds('s'), 1).chance(900) == 1
+        make_resting(clock, 900).forecast_wait(RequestNeeds('s'), 1).chance(900)
+        == 1
+    )
+    assert (
+        make_resting(clock, 900).forecast_wait(RequestNeeds('s'), 2).ends == 1
     )
-    assert make_resting(clock, 900).foresee(RequestNeeds('s'), 2).ends == 1
 
 
 async def test_nobody_is_told_to_return_before_a_long_rest_ends() -> None:
