--- a/src/cartdale/routing/decide.py
+++ b/src/cartdale/routing/decide.py
@@ -11,7 +11,7 @@
     choose_baseline,
     choose_fitting,
     list_candidates,
-    make_outlooks,
+    make_candidates,
 )
 from cartdale.routing.queue import (
     estimate_wait,
@@ -154,8 +154,8 @@
         return None
     if service.policy is not PolicyName.MEMORY_AWARE:
         return choose_baseline(state, service.policy, views)
-    outlooks = make_outlooks(state, views, now)
-    return choose_fitting(outlooks, work, service.weights, state.lengths)
+    candidates = make_candidates(state, views, now)
+    return choose_fitting(candidates, work, service.weights, state.lengths)
 
 
 def _place(
--- a/src/cartdale/routing/policy.py
+++ b/src/cartdale/routing/policy.py
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Outlook:
+class EngineCandidate:
     """Pair an engine with its forecast."""
 
     view: EngineView
@@ -90,9 +90,9 @@
     return candidates
 
 
-def make_outlooks(
+def make_candidates(
     state: RoutingState, views: list[EngineView], now: Millis
-) -> list[Outlook]:
+) -> list[EngineCandidate]:
     """Forecast each engine once."""
     placements_by_upstream: dict[str, list[Placement]] = {}
     for placement in state.placements_by_work.values():
@@ -100,7 +100,7 @@
             placement
         )
     return [
-        Outlook(
+        EngineCandidate(
             view,
             forecast_engine(
                 view,
@@ -114,7 +114,7 @@
 
 
 def choose_fitting(
-    outlooks: list[Outlook],
+    candidates: list[EngineCandidate],
     work: Work,
     weights: Weights,
     lengths: LengthBook,
@@ -123,14 +123,14 @@
     added = forecast_work(work, lengths)
     caution = caution_of(weights)
     best: _Choice | None = None
-    for outlook in outlooks:
-        memory = outlook.view.memory_tokens * MEMORY_SHARE
-        filled = outlook.forecast.add(added).peak(caution) / memory
+    for candidate in candidates:
+        memory = candidate.view.memory_tokens * MEMORY_SHARE
+        filled = candidate.forecast.add(added).peak(caution) / memory
         if not _fits(filled):
             continue
-        score = filled + _step_cost(outlook.view, weights)
-        score -= _prefix_gain(outlook.view, work)
-        choice = _Choice(score, outlook.view.upstream, filled)
+        score = filled + _step_cost(candidate.view, weights)
+        score -= _prefix_gain(candidate.view, work)
+        choice = _Choice(score, candidate.view.upstream, filled)
         best = min(best or choice, choice)
     if best is None:
         return None
