--- a/src/cartdale/daemon/briefing.py
+++ b/src/cartdale/daemon/briefing.py
@@ -67,15 +67,15 @@
             return
         if briefing.key:
             self._peers.take_key(briefing.key)
-        self._fleet.tell(EvacuationsTold(briefing.evacuations))
+        self._fleet.dispatch(EvacuationsTold(briefing.evacuations))
         for peer in briefing.peers:
             self._peers.news.tell(PeerListed(peer))
         for entry in briefing.entries:
             if self._fleet.find(entry.upstream) is not None:
                 continue
-            self._fleet.tell(EntryWritten(entry, heard=True))
+            self._fleet.dispatch(EntryWritten(entry, heard=True))
             if entry.upstream in briefing.lapsed:
                 removed = EntryRemoved(entry.upstream, after_outage=True)
-                self._fleet.tell(removed)
+                self._fleet.dispatch(removed)
         if briefing.document:
             self._peers.adopt(briefing.document)
--- a/src/cartdale/daemon/runtime.py
+++ b/src/cartdale/daemon/runtime.py
@@ -134,7 +134,7 @@
             return
         self.leaving = True
         logger.info('leaving')
-        self._pool.router.tell(LeaveBegan())
+        self._pool.router.dispatch(LeaveBegan())
         self._group.leaving = True
         self._group.membership.tell(OwnLeaving())
         self._nursery.start_soon(self._group.release)
@@ -225,7 +225,7 @@
     def _adopt(self, state: ConfigurationState) -> None:
         self._declared = decode_bodies(state.bodies_by_key)
         self._directory = make_directory(self._declared)
-        self._pool.router.tell(derive_targets(self._declared))
+        self._pool.router.dispatch(derive_targets(self._declared))
         self._group.placer.set_targets()
         self._group.limiter.set_rates(derive_rates(self._declared))
         took = self._configurator.took
--- a/src/cartdale/daemon/upstreams.py
+++ b/src/cartdale/daemon/upstreams.py
@@ -81,7 +81,7 @@
         while True:
             await trio.sleep(seconds(_TICK))
             if self.router.state.waiting:
-                self.router.tell(Tick())
+                self.router.dispatch(Tick())
 
     async def _poll(self, group: GroupView) -> None:
         while True:
@@ -101,13 +101,13 @@
             await trio.sleep(seconds(_FOLLOW_EVERY))
             alive = group.alive_names()
             for gone in known - alive:
-                self.router.tell(EntryGone(gone))
+                self.router.dispatch(EntryGone(gone))
             known = alive
 
     async def _poll_one(self, upstream: str) -> None:
         answer = await self.find(upstream).report()
         report = answer.value_or(None)
         if report is None:
-            self.router.tell(UpstreamFailed(upstream))
+            self.router.dispatch(UpstreamFailed(upstream))
             return
-        self.router.tell(LoadHeard(upstream, report))
+        self.router.dispatch(LoadHeard(upstream, report))
--- a/src/cartdale/fleet/advisories.py
+++ b/src/cartdale/fleet/advisories.py
@@ -45,9 +45,9 @@
         if before is None:
             return
         if advisory.leaving:
-            self._fleet.tell(SaidLeaving(upstream))
+            self._fleet.dispatch(SaidLeaving(upstream))
         if advisory.backoff:
-            self._fleet.tell(BackoffRequested(upstream, advisory.backoff))
+            self._fleet.dispatch(BackoffRequested(upstream, advisory.backoff))
         self._take_limit(before, advisory, asked_at)
         after = self._fleet.find(upstream)
         if after is None or _is_same(before, after):
@@ -92,7 +92,7 @@
         # Nearly all answers name none where there was none.
         if told:
             book.note(upstream, named, self._clock.now())
-            self._fleet.tell(NamedLimit(upstream, named))
+            self._fleet.dispatch(NamedLimit(upstream, named))
 
 
 def _is_same(before: Upstream, after: Upstream) -> bool:
--- a/src/cartdale/fleet/driver.py
+++ b/src/cartdale/fleet/driver.py
@@ -97,7 +97,7 @@
         #: Requests that no upstream is to get.
         self.quarantine = Quarantine(clock, self.notify)
 
-    def tell(self, message: Message) -> None:
+    def dispatch(self, message: Message) -> None:
         """Take one message and act on what follows from it."""
         before = self.state
         after, actions = decide(before, message, self._clock.now())
@@ -142,7 +142,7 @@
         """Let time pass, for ever."""
         while True:
             await trio.sleep(seconds(_TICK))
-            self.tell(TimePassed())
+            self.dispatch(TimePassed())
             self.quarantine.forget()
             self.cold_gate.forget(self._clock.now())
             totals = self.loads.totals(self._clock.now())
--- a/src/cartdale/fleet/follow.py
+++ b/src/cartdale/fleet/follow.py
@@ -234,12 +234,14 @@
         restored = self._note_era(listing.era)
         after_outage = self._had_outage()
         # Evacuations first: what else is told may wake those who wait.
-        self._fleet.tell(
+        self._fleet.dispatch(
             EvacuationsListed(
                 tuple(evacuations), listing.store_revision, restored
             )
         )
-        self._fleet.tell(EntriesListed(tuple(listed), after_outage, restored))
+        self._fleet.dispatch(
+            EntriesListed(tuple(listed), after_outage, restored)
+        )
         self.synced.set()
 
     def _note_era(self, era: int) -> bool:
@@ -309,12 +311,12 @@
             case TableWritten():
                 self.adopt(change)
             case EntryWritten():
-                self._fleet.tell(change)
+                self._fleet.dispatch(change)
             case EntryRemoved(upstream=upstream):
                 after_outage = self._had_outage()
-                self._fleet.tell(EntryRemoved(upstream, after_outage))
+                self._fleet.dispatch(EntryRemoved(upstream, after_outage))
             case EvacuationWritten(evacuation=evacuation):
-                self._fleet.tell(EvacuationsTold((evacuation,)))
+                self._fleet.dispatch(EvacuationsTold((evacuation,)))
             case OwnKey():
                 self._take_own(change)
             case Unreadable(detail=detail):
--- a/src/cartdale/moves/driver.py
+++ b/src/cartdale/moves/driver.py
@@ -170,7 +170,7 @@
         report = await read_report(self._upstreams, known.entry)
         if report.leaving or report.leaves_in is not None:
             logger.info('engine says it leaves', upstream=name)
-            self._fleet.tell(SaidLeaving(name, born=report.born))
+            self._fleet.dispatch(SaidLeaving(name, born=report.born))
 
     def _is_leaving(self, name: str) -> bool:
         known = self._fleet.find(name)
--- a/src/cartdale/news/driver.py
+++ b/src/cartdale/news/driver.py
@@ -120,15 +120,15 @@
                 case TakeLoads(peer=peer, loads_by_upstream=loads_by_upstream):
                     self._take_loads(peer, loads_by_upstream)
                 case TakeEntry(entry=entry):
-                    self._fleet.tell(EntryWritten(entry, heard=True))
+                    self._fleet.dispatch(EntryWritten(entry, heard=True))
                 case TakeLeaving() | TakeLimit():
                     self._take_statement(action)
                 case TakeEvacuations(evacuations=evacuations):
-                    self._fleet.tell(EvacuationsTold(evacuations))
+                    self._fleet.dispatch(EvacuationsTold(evacuations))
                 case CrashesTold():
                     self._fleet.quarantine.tell(action)
                 case AvoidUpstream(upstream=upstream):
-                    self._fleet.tell(ToldFailing(upstream))
+                    self._fleet.dispatch(ToldFailing(upstream))
                 case FetchTable(peer=newer):
                     self._fetch_table(newer)
                 case ForwardNews():
@@ -204,12 +204,12 @@
     def _take_statement(self, told: TakeLeaving | TakeLimit) -> None:
         match told:
             case TakeLeaving(upstream=name, born=born, said=True):
-                self._fleet.tell(SaidLeaving(name, heard=True, born=born))
+                self._fleet.dispatch(SaidLeaving(name, heard=True, born=born))
             case TakeLeaving(upstream=name, born=born):
-                self._fleet.tell(EntryRemoved(name, heard=True, born=born))
+                self._fleet.dispatch(EntryRemoved(name, heard=True, born=born))
             case TakeLimit(upstream=name, news=news):
                 limit = read_limit(news, self._clock.now())
-                self._fleet.tell(NamedLimit(name, limit, news.born))
+                self._fleet.dispatch(NamedLimit(name, limit, news.born))
 
     def _take_loads(
         self, peer: str, loads_by_upstream: dict[str, Load]
--- a/src/cartdale/placement/driver.py
+++ b/src/cartdale/placement/driver.py
@@ -107,15 +107,15 @@
     def take(self, report: EndReport) -> None:
         """Take another instance's report."""
         for ended in report.ended:
-            self._ports.router.tell(
+            self._ports.router.dispatch(
                 WorkEnded(ended.work_id, ended.produced, ended.finished)
             )
         for upstream in report.failed:
-            self._ports.router.tell(UpstreamFailed(upstream))
+            self._ports.router.dispatch(UpstreamFailed(upstream))
 
     def end(self, work_id: str, produced: int, *, finished: bool) -> None:
         """Report that work left its engine."""
-        self._ports.router.tell(WorkEnded(work_id, produced, finished))
+        self._ports.router.dispatch(WorkEnded(work_id, produced, finished))
         placer = self._placers_by_work.pop(work_id, None)
         if placer is None:
             return
@@ -127,7 +127,7 @@
 
     def blame(self, work_id: str, upstream: str) -> None:
         """Report that an engine refused or was lost."""
-        self._ports.router.tell(UpstreamFailed(upstream))
+        self._ports.router.dispatch(UpstreamFailed(upstream))
         placer = self._placers_by_work.get(work_id)
         if placer is None:
             return
--- a/src/cartdale/relay/attempts.py
+++ b/src/cartdale/relay/attempts.py
@@ -192,7 +192,7 @@
         case Standing.RAN:
             return None
         case Standing.REPLACED:
-            fleet.tell(Replaced(upstream))
+            fleet.dispatch(Replaced(upstream))
     return Declined(rests=answer.backoff > 0)
 
 
@@ -236,10 +236,10 @@
         case Withdrawn() | Withheld():
             """It says nothing of the upstream."""
         case Unsent():
-            fleet.tell(RequestEnded(upstream, good=False, reached=False))
+            fleet.dispatch(RequestEnded(upstream, good=False, reached=False))
         case Broken(begun=False) if streams:
-            fleet.tell(RequestEnded(upstream, good=False, reached=False))
+            fleet.dispatch(RequestEnded(upstream, good=False, reached=False))
         case Declined() | Broken():
-            fleet.tell(RequestEnded(upstream, good=False))
+            fleet.dispatch(RequestEnded(upstream, good=False))
         case Answered(good=good):
-            fleet.tell(RequestEnded(upstream, good=good))
+            fleet.dispatch(RequestEnded(upstream, good=good))
--- a/src/cartdale/relay/stream.py
+++ b/src/cartdale/relay/stream.py
@@ -283,7 +283,7 @@
             self._started = True
         if call.resume is not None:
             self._generation.resumed()
-        fleet.tell(RequestEnded(upstream, good=answer.status == _SUCCESS))
+        fleet.dispatch(RequestEnded(upstream, good=answer.status == _SUCCESS))
         resumed = call.resume is not None
         return await self._pass_events(answer, resumed=resumed)
 
--- a/src/cartdale/routing/driver.py
+++ b/src/cartdale/routing/driver.py
@@ -40,7 +40,7 @@
         self._waiters_by_work: dict[str, _Waiter] = {}
         self.state = RoutingState(seed=seed)
 
-    def tell(self, message: Message) -> None:
+    def dispatch(self, message: Message) -> None:
         """Take a message and carry out what is decided."""
         after, actions = decide(self.state, message, self._clock.now())
         self.state = after
@@ -51,13 +51,13 @@
         """Wait until work may run, and return its upstream."""
         waiter = _Waiter()
         self._waiters_by_work[work.work_id] = waiter
-        self.tell(WorkArrived(work))
+        self.dispatch(WorkArrived(work))
         try:
             await waiter.decided.wait()
         finally:
             self._waiters_by_work.pop(work.work_id, None)
             if waiter.outcome is None:
-                self.tell(WorkAbandoned(work.work_id))
+                self.dispatch(WorkAbandoned(work.work_id))
         assert waiter.outcome is not None
         return waiter.outcome
 
@@ -65,7 +65,7 @@
         match action:
             case Place(work=work, upstream=upstream):
                 if not self._resolve(work.work_id, Success(upstream)):
-                    self.tell(WorkEnded(work.work_id, 0, finished=False))
+                    self.dispatch(WorkEnded(work.work_id, 0, finished=False))
             case Refuse(work=work, problem=problem):
                 self._resolve(work.work_id, Failure(problem))
             case _:
--- a/tests/load/test_cold_upstreams.py
+++ b/tests/load/test_cold_upstreams.py
@@ -174,7 +174,7 @@
     fleet.table = RoutingTable(version=1, services_by_name={'s': spec})
     fleet.cold_gate.bound = BOUND
     fleet.cold_gate.divide_among(Sharers('front-1', 'west', ('west',), ()))
-    fleet.tell(EntriesListed(entries))
+    fleet.dispatch(EntriesListed(entries))
     return fleet
 
 
@@ -211,11 +211,11 @@
     clock.advance(10_000)
     assert choose_many(fleet) == {'only': 100}
     again = make_entry('only', slots=1000, cold_for=700)
-    fleet.tell(EntryWritten(again))
+    fleet.dispatch(EntryWritten(again))
     assert not choose_many(fleet)
     clock.advance(600)
     # Peers repeat what they read; it does not begin anew.
-    fleet.tell(EntryWritten(again, heard=True))
+    fleet.dispatch(EntryWritten(again, heard=True))
     clock.advance(100)
     assert choose_many(fleet) == {'only': 100}
 
@@ -223,9 +223,9 @@
 def test_whole_domain_may_be_cold_when_its_evacuation_ends() -> None:
     clock = VirtualClock()
     fleet = make_fleet(clock, make_entry('only', slots=1000))
-    fleet.tell(EvacuationsTold((Evacuation('west', 5),)))
+    fleet.dispatch(EvacuationsTold((Evacuation('west', 5),)))
     assert not choose_many(fleet)
-    fleet.tell(EvacuationsTold((Evacuation('west', 6, active=False),)))
+    fleet.dispatch(EvacuationsTold((Evacuation('west', 6, active=False),)))
     assert not choose_many(fleet)
     clock.advance(1000)
     assert choose_many(fleet) == {'only': 100}
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -154,7 +154,7 @@
 def make_fleet(*told: Evacuation, clock=None) -> Fleet:
     fleet = Fleet(clock or VirtualClock(), 'west', 1)
     fleet.table = RoutingTable(version=1, services_by_name={'s': SPEC})
-    fleet.tell(
+    fleet.dispatch(
         EntriesListed(
             (
                 SOURCE,
@@ -163,7 +163,7 @@
             )
         )
     )
-    fleet.tell(EvacuationsTold(told))
+    fleet.dispatch(EvacuationsTold(told))
     return fleet
 
 
@@ -183,13 +183,13 @@
     clock = VirtualClock()
     fleet = make_fleet(clock=clock)
     assert fleet.may_finish_move(SOURCE)
-    fleet.tell(EvacuationsTold((BEGUN,)))
+    fleet.dispatch(EvacuationsTold((BEGUN,)))
     clock.advance(FINISHES_MOVES)
     assert fleet.may_finish_move(SOURCE)
     clock.advance(1)
     assert not fleet.may_finish_move(SOURCE)
     # What comes later does not begin the moment again.
-    fleet.tell(EvacuationsTold((Evacuation('west', 30),)))
+    fleet.dispatch(EvacuationsTold((Evacuation('west', 30),)))
     assert not fleet.may_finish_move(SOURCE)
 
 
--- a/tests/test_heard_departures.py
+++ b/tests/test_heard_departures.py
@@ -164,7 +164,7 @@
     """Also those that the store tells otherwise later."""
     clock = VirtualClock()
     teller = Fleet(clock, 'west', 1)
-    teller.tell(EntryWritten(make_entry('a', born=1)))
+    teller.dispatch(EntryWritten(make_entry('a', born=1)))
     writer = NewsWriter(PEER, teller, clock, bool, bool)
     seal = Seal((b'k' * 32,))
     writer.write(seal)
--- a/tests/test_leaving_engines.py
+++ b/tests/test_leaving_engines.py
@@ -179,16 +179,16 @@
     mover = Mover(fleet, upstreams, clock, bool, lambda _: False, bool)
     for name in ('a', 'b'):
         entry = UpstreamEntry(name, 's', f'{name}:1', 'west', 4)
-        fleet.tell(EntryWritten(entry))
+        fleet.dispatch(EntryWritten(entry))
     mover.add(Running('a', 'r', 3000, 50, backup='b'))
     async with trio.open_nursery() as nursery:
         nursery.start_soon(mover.run)
         await trio.sleep(0.01)
-        fleet.tell(EntryRemoved('a'))
+        fleet.dispatch(EntryRemoved('a'))
         await trio.sleep(0.01)
         before = len(upstreams.asked)
         assert before
-        fleet.tell(EntryRemoved('b'))
+        fleet.dispatch(EntryRemoved('b'))
         # Far less than the time between two looks for late arrivals.
         await trio.sleep(0.01)
         assert upstreams.asked[before:].count('a:1') == 1
--- a/tests/test_limit_news.py
+++ b/tests/test_limit_news.py
@@ -55,7 +55,7 @@
 def test_peers_hear_of_a_limit_and_of_its_end() -> None:
     clock = VirtualClock(10_000)
     teller = Fleet(clock, 'west', 1)
-    teller.tell(EntryWritten(make_entry('a', born=1)))
+    teller.dispatch(EntryWritten(make_entry('a', born=1)))
     advisories = AdvisoryRecorder(teller, clock)
     writer = NewsWriter(PEERS[1], teller, clock, bool, bool)
     seal = Seal((b'k' * 32,))
@@ -80,8 +80,8 @@
 def test_a_peer_does_not_tell_what_it_was_told() -> None:
     clock = VirtualClock(10_000)
     fleet = Fleet(clock, 'west', 1)
-    fleet.tell(EntryWritten(make_entry('a')))
-    fleet.tell(NamedLimit('a', RateLimit(3, 9000, 9100)))
+    fleet.dispatch(EntryWritten(make_entry('a')))
+    fleet.dispatch(NamedLimit('a', RateLimit(3, 9000, 9100)))
     assert fleet.limits.gate.find('a') is not None
     writer = NewsWriter(PEERS[1], fleet, clock, bool, bool)
     assert not writer.list_limits()
@@ -117,10 +117,10 @@
 
 def test_gate_lets_go_of_a_life_that_is_over() -> None:
     fleet = Fleet(VirtualClock(), 'west', 1)
-    fleet.tell(EntryWritten(make_entry('a', born=1)))
-    fleet.tell(NamedLimit('a', RateLimit(3, 0, 0), born=1))
+    fleet.dispatch(EntryWritten(make_entry('a', born=1)))
+    fleet.dispatch(NamedLimit('a', RateLimit(3, 0, 0), born=1))
     assert fleet.limits.gate.find('a') is not None
-    fleet.tell(EntryWritten(make_entry('a', born=2)))
+    fleet.dispatch(EntryWritten(make_entry('a', born=2)))
     assert fleet.limits.gate.find('a') is None
 
 
@@ -200,7 +200,7 @@
     """
     clock = VirtualClock(10_000)
     teller = Fleet(clock, 'west', 1)
-    teller.tell(EntryWritten(make_entry('a')))
+    teller.dispatch(EntryWritten(make_entry('a')))
     advisories = AdvisoryRecorder(teller, clock)
     writer = NewsWriter(PEERS[1], teller, clock, bool, bool)
     known = make_fleet('a')
--- a/tests/test_limited_admission.py
+++ b/tests/test_limited_admission.py
@@ -26,9 +26,9 @@
     now = clock.now()
     fleet.limits.gate.divide_among(sharers, now)
     for number, per_second in enumerate(limits):
-        fleet.tell(EntryWritten(make_entry(f'u{number}', slots=1000)))
+        fleet.dispatch(EntryWritten(make_entry(f'u{number}', slots=1000)))
         named = RateLimit(per_second, now, now)
-        fleet.tell(NamedLimit(f'u{number}', named))
+        fleet.dispatch(NamedLimit(f'u{number}', named))
     return fleet
 
 
@@ -125,7 +125,7 @@
     room elsewhere kept the limit for a minute after its end.
     """
     fleet = make_limited(SystemClock(), 0.5, float('inf'))
-    fleet.tell(RequestEnded('u0', good=False, reached=True))
+    fleet.dispatch(RequestEnded('u0', good=False, reached=True))
     sent = 0
     for _ in range(200):
         chosen = fleet.choose(NEED)
@@ -141,7 +141,7 @@
 ) -> None:
     fleet = make_limited(SystemClock(), 0.5, float('inf'))
     for _ in range(8):
-        fleet.tell(RequestEnded('u0', good=False, reached=True))
+        fleet.dispatch(RequestEnded('u0', good=False, reached=True))
     await trio.sleep(5)
     chosen = fleet.choose(NEED)
     assert chosen is not None
@@ -158,7 +158,7 @@
     placed, _ = await place_many(fleet, 50, patience=0)
     assert placed
     now = clock.now()
-    fleet.tell(NamedLimit('u0', RateLimit(lowered, now, now)))
+    fleet.dispatch(NamedLimit('u0', RateLimit(lowered, now, now)))
     sent = 0
     for _ in range(400):
         waits, _ = await place_many(fleet, 1, patience=0)
--- a/tests/test_outlook.py
+++ b/tests/test_outlook.py
@@ -79,7 +79,7 @@
 def make_full_fleet(clock: SystemClock) -> Fleet:
     fleet = Fleet(clock, 'west', 1)
     fleet.table = RoutingTable(1, services_by_name={'s': SPEC})
-    fleet.tell(EntriesListed((make_entry('a', slots=64),)))
+    fleet.dispatch(EntriesListed((make_entry('a', slots=64),)))
     fleet.loads.hear('peer', {'a': FULL}, clock.now())
     return fleet
 
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -189,7 +189,7 @@
 async def test_a_request_that_waits_for_room_stops_waiting() -> None:
     async with open_platform(engines=1, proxied=True) as stage:
         runtime = stage.runtimes[0]
-        runtime.fleet.tell(EntryRemoved('engine-0'))
+        runtime.fleet.dispatch(EntryRemoved('engine-0'))
         answers: list[httpx.Response | None] = []
 
         async def ask() -> None:
--- a/tests/test_rests.py
+++ b/tests/test_rests.py
@@ -172,7 +172,7 @@
             source.leaves_ms = 5000
             stage.drain(source)
             await until(lambda: source.stops_by_request.get('r1'))
-            fleet.tell(BackoffRequested(target.name, 700))
+            fleet.dispatch(BackoffRequested(target.name, 700))
             backoff_until = trio.current_time() + 0.7
             source.copy_gate.set()
         assert answers[0].content == whole('r1', 200)
@@ -223,9 +223,9 @@
     fleet = Fleet(clock, 'west', 1)
     for number, wanted in enumerate(rests):
         name = f'u{number}'
-        fleet.tell(EntryWritten(make_entry(name, slots=2)))
+        fleet.dispatch(EntryWritten(make_entry(name, slots=2)))
         if wanted:
-            fleet.tell(BackoffRequested(name, wanted))
+            fleet.dispatch(BackoffRequested(name, wanted))
     return fleet
 
 
@@ -237,7 +237,7 @@
     assert resting.find_unavailable_reason(needs) == 'resting'
     assert resting.choose(needs) is None
     for name in ('u0', 'u1'):
-        resting.tell(SaidLeaving(name))
+        resting.dispatch(SaidLeaving(name))
     assert resting.find_unavailable_reason(needs) == 'leaving'
     assert make_resting(clock).find_unavailable_reason(needs) == 'missing'
     tried = replace(needs, excluded=frozenset(('u0',)))
@@ -278,6 +278,6 @@
 
 def test_metrics_count_who_leaves_and_who_rests() -> None:
     fleet = make_resting(VirtualClock(), 900, 0)
-    fleet.tell(SaidLeaving('u1'))
+    fleet.dispatch(SaidLeaving('u1'))
     assert count_unavailable(fleet.state, 0) == (1, 1, 0)
     assert count_unavailable(fleet.state, 900) == (1, 0, 0)
--- a/tests/test_silent_links.py
+++ b/tests/test_silent_links.py
@@ -170,7 +170,9 @@
 
 def make_forgotten(sink: SlowSink, generation: Ended) -> StreamCarrier:
     carrier = make_carrier(sink, generation)
-    carrier._ports.fleet.tell(EntryWritten(replace(ELSEWHERE, upstream='a')))
+    carrier._ports.fleet.dispatch(
+        EntryWritten(replace(ELSEWHERE, upstream='a'))
+    )
     ports = replace(carrier._ports, upstreams=Forgetful())
     carrier._ports = ports
     carrier._passer._ports = ports
--- a/tests/test_targets.py
+++ b/tests/test_targets.py
@@ -28,7 +28,7 @@
     spec = ServiceSpec('s', '', 0, ENGINE)
     fleet.table = RoutingTable(version=1, services_by_name={'s': spec})
     for entry in (SOURCE, OTHER):
-        fleet.tell(EntryWritten(entry))
+        fleet.dispatch(EntryWritten(entry))
     loads = {'a': at_source, 'b': at_other}
     fleet.loads.hear('peer', loads, 0)
     return fleet
@@ -92,7 +92,7 @@
     domains = ['west', *['east'] * 14, *['north'] * 14]
     for number, domain in enumerate(domains):
         name = f'e{number}'
-        fleet.tell(
+        fleet.dispatch(
             EntryWritten(UpstreamEntry(name, 's', f'{name}:80', domain, 64))
         )
     fleet.loads.hear('peer', {'e0': Load(4, 14000)}, 0)
--- a/tests/test_upstream_lives.py
+++ b/tests/test_upstream_lives.py
@@ -101,8 +101,8 @@
 
 def test_news_tell_which_life_leaves() -> None:
     fleet = Fleet(VirtualClock(), 'west', 1)
-    fleet.tell(EntryWritten(make_entry('a', born=1)))
-    fleet.tell(EntryRemoved('a'))
+    fleet.dispatch(EntryWritten(make_entry('a', born=1)))
+    fleet.dispatch(EntryRemoved('a'))
     writer = NewsWriter(PEER, fleet, VirtualClock(), bool, bool)
     seal = Seal((b'k' * 32,))
     envelope = seal.open(writer.write(seal), 0)
@@ -114,8 +114,8 @@
 def test_an_upstream_that_says_it_leaves_is_told_as_an_entry() -> None:
     """One that came back after an outage is not taken as gone on hearsay."""
     fleet = Fleet(VirtualClock(), 'west', 1)
-    fleet.tell(EntryWritten(make_entry('a')))
-    fleet.tell(EntryWritten(make_entry('a', lifecycle=Lifecycle.LEAVING)))
+    fleet.dispatch(EntryWritten(make_entry('a')))
+    fleet.dispatch(EntryWritten(make_entry('a', lifecycle=Lifecycle.LEAVING)))
     writer = NewsWriter(PEER, fleet, VirtualClock(), lambda: True, bool)
     news = writer.describe_domain(1, {}, {}, store_lost=False)
     assert [each.lifecycle for each in news.entries] == [Lifecycle.LEAVING]
