--- a/bench/scale.py
+++ b/bench/scale.py
@@ -61,7 +61,7 @@
 from cartdale.routing.decide import decide as decide_routing
 from cartdale.routing.types import (
     EngineView,
-    LoadHeard,
+    LoadReportReceived,
     RoutingState,
     ServiceView,
     TargetsChanged,
@@ -244,7 +244,7 @@
         state = decide_routing(state, WorkArrived(work), number)[0]
     for name in names:
         report = LoadReport(5000, placed * 700, placed, 0, placed, 20, 0)
-        state = decide_routing(state, LoadHeard(name, report), 5000)[0]
+        state = decide_routing(state, LoadReportReceived(name, report), 5000)[0]
     return state
 
 
--- a/bench/simulate.py
+++ b/bench/simulate.py
@@ -19,7 +19,7 @@
 from cartdale.routing.lengths import describe_shape
 from cartdale.routing.types import (
     EngineView,
-    LoadHeard,
+    LoadReportReceived,
     Message,
     Place,
     Refuse,
@@ -330,7 +330,7 @@
             self._at(self.now + REPORT_EVERY, partial(self._poll, entry))
 
     def _hear(self, entry: int, upstream: str, report: LoadReport) -> None:
-        self._tell(entry, LoadHeard(upstream, report))
+        self._tell(entry, LoadReportReceived(upstream, report))
 
     def _die(self, upstream: str) -> None:
         engine = self._engines[upstream]
--- a/src/cartdale/daemon/briefing.py
+++ b/src/cartdale/daemon/briefing.py
@@ -73,7 +73,7 @@
         for entry in briefing.entries:
             if self._fleet.find(entry.upstream) is not None:
                 continue
-            self._fleet.dispatch(EntryWritten(entry, heard=True))
+            self._fleet.dispatch(EntryWritten(entry, from_peer=True))
             if entry.upstream in briefing.lapsed:
                 removed = EntryRemoved(entry.upstream, after_outage=True)
                 self._fleet.dispatch(removed)
--- a/src/cartdale/daemon/upstreams.py
+++ b/src/cartdale/daemon/upstreams.py
@@ -14,7 +14,7 @@
 from cartdale.routing.types import (
     EngineView,
     EntryGone,
-    LoadHeard,
+    LoadReportReceived,
     Tick,
     UpstreamFailed,
 )
@@ -110,4 +110,4 @@
         if report is None:
             self.router.dispatch(UpstreamFailed(upstream))
             return
-        self.router.dispatch(LoadHeard(upstream, report))
+        self.router.dispatch(LoadReportReceived(upstream, report))
--- a/src/cartdale/fleet/decide.py
+++ b/src/cartdale/fleet/decide.py
@@ -52,7 +52,7 @@
         case EntriesListed():
             return _list(state, message, now)
         case EntryWritten(entry=entry):
-            return _write(state, entry, now, heard=message.heard)
+            return _write(state, entry, now, from_peer=message.from_peer)
         case EntryRemoved():
             return _remove(state, message, now)
         case SaidLeaving() | NamedLimit():
@@ -100,7 +100,7 @@
     entry: UpstreamEntry,
     now: Millis,
     *,
-    heard: bool = False,
+    from_peer: bool = False,
 ) -> Decision:
     known = state.upstreams_by_id.get(entry.upstream)
     if known is None:
@@ -113,7 +113,7 @@
     if not entry.born:
         entry = replace(entry, born=known.entry.born)
     if known.lifecycle is Lifecycle.LEAVING:
-        back = find_return(known, entry, now, heard=heard)
+        back = find_return(known, entry, now, from_peer=from_peer)
         leaves = back.lifecycle is Lifecycle.LEAVING
         returned = () if leaves else (Returned(entry.upstream),)
         return put(state, back), returned
@@ -121,7 +121,7 @@
         known,
         entry=entry,
         lifecycle=entry.lifecycle,
-        warm_at=find_warm_at(known, entry, now, heard=heard),
+        warm_at=find_warm_at(known, entry, now, from_peer=from_peer),
     )
     if changed.lifecycle is not known.lifecycle:
         changed = replace(changed, changed_at=now)
@@ -154,7 +154,7 @@
         return state, ()
     if known.lifecycle is Lifecycle.LEAVING:
         return _unlist(state, known, message), ()
-    if message.heard and is_late(known, message, now):
+    if message.from_peer and is_late(known, message, now):
         return state, ()
     if message.after_outage:
         if known.lifecycle is Lifecycle.LAPSED:
@@ -169,7 +169,7 @@
     state: FleetState, known: Upstream, message: EntryRemoved
 ) -> FleetState:
     """Note that no older entry of one that leaves is left in the store."""
-    if known.unlisted or message.heard or message.after_outage:
+    if known.unlisted or message.from_peer or message.after_outage:
         return state
     return put(state, replace(known, unlisted=True))
 
--- a/src/cartdale/fleet/departures.py
+++ b/src/cartdale/fleet/departures.py
@@ -15,7 +15,7 @@
 
 #: What a peer tells against what the store showed here counts only after so
 #: long: peers repeat what changed for three seconds.
-HEARD_AFTER_MS: Millis = 4 * SECOND_MS
+PEER_REPORT_IGNORED_MS: Millis = 4 * SECOND_MS
 #: A removed upstream is forgotten after so long; until then its running work
 #: is still known to be there.
 LEAVING_KEPT_MS: Millis = MINUTE_MS // 2
@@ -33,7 +33,7 @@
     """
     if is_of_another_life(said.born, known):
         return known
-    told_here = known.told_here or not said.heard
+    told_here = known.told_here or not said.from_peer
     if known.said_leaving and told_here == known.told_here:
         return known
     leaving = replace(
@@ -59,7 +59,7 @@
     entry: UpstreamEntry,
     now: Millis,
     *,
-    heard: bool,
+    from_peer: bool,
 ) -> Upstream:
     """Return an upstream as it is back, if it was only missing.
 
@@ -67,7 +67,7 @@
     """
     if entry.lifecycle is Lifecycle.LEAVING and not known.said_leaving:
         return replace(known, entry=entry)
-    early = heard and now - known.changed_at < HEARD_AFTER_MS
+    early = from_peer and now - known.changed_at < PEER_REPORT_IGNORED_MS
     if known.said_leaving or early:
         return known
     return replace(
@@ -76,7 +76,7 @@
         lifecycle=entry.lifecycle,
         changed_at=now,
         returned=True,
-        warm_at=find_warm_at(known, entry, now, heard=heard),
+        warm_at=find_warm_at(known, entry, now, from_peer=from_peer),
     )
 
 
@@ -87,7 +87,7 @@
     """
     if is_of_another_life(message.born, known):
         return True
-    return known.returned and now - known.changed_at < HEARD_AFTER_MS
+    return known.returned and now - known.changed_at < PEER_REPORT_IGNORED_MS
 
 
 def find_kept(leaving: Upstream) -> Millis:
@@ -97,7 +97,7 @@
 
 
 def find_warm_at(
-    known: Upstream, entry: UpstreamEntry, now: Millis, *, heard: bool
+    known: Upstream, entry: UpstreamEntry, now: Millis, *, from_peer: bool
 ) -> Millis:
     """Return when an upstream is warm; it may turn cold at any moment.
 
@@ -107,7 +107,7 @@
     if entry == known.entry:
         return known.warm_at
     told = now + entry.cold_for
-    return max(known.warm_at, told) if heard else told
+    return max(known.warm_at, told) if from_peer else told
 
 
 def is_of_another_life(born: Millis, known: Upstream) -> bool:
--- a/src/cartdale/fleet/loads.py
+++ b/src/cartdale/fleet/loads.py
@@ -127,7 +127,7 @@
 class _PeerLoad:
     """Hold what a peer said last."""
 
-    heard_at: Millis
+    received_at: Millis
     loads_by_upstream: dict[str, Load]
 
 
@@ -150,7 +150,7 @@
         self._assignments.discard(assignment)
         self._count(assignment)
 
-    def hear(
+    def receive(
         self, peer: str, loads_by_upstream: dict[str, Load], now: Millis
     ) -> None:
         """Replace what a peer has running."""
@@ -230,7 +230,7 @@
         return [
             peer.loads_by_upstream
             for peer in known
-            if peer is not None and now - peer.heard_at <= PEER_LOAD_KEPT_MS
+            if peer is not None and now - peer.received_at <= PEER_LOAD_KEPT_MS
         ]
 
     def _count(self, assignment: Assignment) -> None:
--- a/src/cartdale/fleet/types.py
+++ b/src/cartdale/fleet/types.py
@@ -163,11 +163,11 @@
 class EntryWritten:
     """An upstream wrote its entry.
 
-    :param heard: whether a peer told it, who may be a little behind.
+    :param from_peer: whether a peer told it, who may be a little behind.
     """
 
     entry: UpstreamEntry
-    heard: bool = False
+    from_peer: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -175,13 +175,13 @@
     """An upstream's entry is gone.
 
     :param after_outage: whether the store was away shortly before.
-    :param heard: whether a peer told it, who may be a little behind.
+    :param from_peer: whether a peer told it, who may be a little behind.
     :param born: start of the life that left, where a peer tells it.
     """
 
     upstream: str
     after_outage: bool = False
-    heard: bool = False
+    from_peer: bool = False
     born: Millis = 0
 
 
@@ -189,12 +189,12 @@
 class SaidLeaving:
     """An upstream said itself that it leaves, in an answer.
 
-    :param heard: whether a peer told it, whom it had answered.
+    :param from_peer: whether a peer told it, whom it had answered.
     :param born: start of the life that leaves; 0 when that is not told.
     """
 
     upstream: str
-    heard: bool = False
+    from_peer: bool = False
     born: Millis = 0
 
 
--- a/src/cartdale/news/driver.py
+++ b/src/cartdale/news/driver.py
@@ -120,7 +120,7 @@
                 case TakeLoads(peer=peer, loads_by_upstream=loads_by_upstream):
                     self._take_loads(peer, loads_by_upstream)
                 case TakeEntry(entry=entry):
-                    self._fleet.dispatch(EntryWritten(entry, heard=True))
+                    self._fleet.dispatch(EntryWritten(entry, from_peer=True))
                 case TakeLeaving() | TakeLimit():
                     self._take_statement(action)
                 case TakeEvacuations(evacuations=evacuations):
@@ -204,9 +204,13 @@
     def _take_statement(self, told: TakeLeaving | TakeLimit) -> None:
         match told:
             case TakeLeaving(upstream=name, born=born, said=True):
-                self._fleet.dispatch(SaidLeaving(name, heard=True, born=born))
+                self._fleet.dispatch(
+                    SaidLeaving(name, from_peer=True, born=born)
+                )
             case TakeLeaving(upstream=name, born=born):
-                self._fleet.dispatch(EntryRemoved(name, heard=True, born=born))
+                self._fleet.dispatch(
+                    EntryRemoved(name, from_peer=True, born=born)
+                )
             case TakeLimit(upstream=name, news=news):
                 limit = read_limit(news, self._clock.now())
                 self._fleet.dispatch(NamedLimit(name, limit, news.born))
@@ -216,7 +220,7 @@
     ) -> None:
         if self._fleet.switches.has(Mechanism.LOAD_NEWS):
             now = self._clock.now()
-            self._fleet.loads.hear(peer, loads_by_upstream, now)
+            self._fleet.loads.receive(peer, loads_by_upstream, now)
 
     async def _receive(self) -> None:
         while True:
--- a/src/cartdale/routing/decide.py
+++ b/src/cartdale/routing/decide.py
@@ -26,7 +26,7 @@
     EngineView,
     EntryGone,
     LeaveBegan,
-    LoadHeard,
+    LoadReportReceived,
     Message,
     Place,
     Placement,
@@ -41,7 +41,11 @@
     WorkArrived,
     WorkEnded,
 )
-from cartdale.routing.views import hear_load, merge_targets, note_failure
+from cartdale.routing.views import (
+    merge_targets,
+    note_failure,
+    receive_load_report,
+)
 
 #: Queued work looked at in one decision; bounds its cost.
 _LOOKAHEAD = 4
@@ -62,8 +66,10 @@
             return _place_waiting(_end(state, message), now)
         case WorkAbandoned(work_id=work_id):
             return replace(state, waiting=without(state.waiting, work_id)), ()
-        case LoadHeard(upstream=upstream, report=report):
-            return _place_waiting(hear_load(state, upstream, report, now), now)
+        case LoadReportReceived(upstream=upstream, report=report):
+            return _place_waiting(
+                receive_load_report(state, upstream, report, now), now
+            )
         case UpstreamFailed(upstream=upstream):
             return note_failure(state, upstream, now), ()
         case TargetsChanged():
--- a/src/cartdale/routing/forecast.py
+++ b/src/cartdale/routing/forecast.py
@@ -110,7 +110,7 @@
         prompt = placement.work.prompt_tokens
         produced = estimate_produced(view, placement, now)
         sums.add(profile, prompt, produced, 1)
-        if placement.placed_at < view.heard_at:
+        if placement.placed_at < view.received_at:
             own = own.add(prompt, produced)
     return sums.read().add(_forecast_others(view, own, lengths, now))
 
@@ -119,7 +119,7 @@
     view: EngineView, own: _Own, lengths: LengthBook, now: Millis
 ) -> Forecast:
     report = view.report
-    if report is None or now - view.heard_at > STALE_MS:
+    if report is None or now - view.received_at > STALE_MS:
         return _EMPTY
     typical = own.prompts / own.count if own.count else 0
     foreign = _forecast_foreign(view, report, own, lengths)
@@ -183,7 +183,7 @@
     report = view.report
     if report is None:
         return _EMPTY
-    expected = view.foreign_per_ms * (now - view.heard_at)
+    expected = view.foreign_per_ms * (now - view.received_at)
     if not expected:
         return _EMPTY
     return forecast_one(lengths.find(view.upstream), typical, 0, expected)
--- a/src/cartdale/routing/types.py
+++ b/src/cartdale/routing/types.py
@@ -58,7 +58,7 @@
     """Hold what this instance knows of an engine.
 
     :param report: last report, older than it looks by the engine's lag.
-    :param heard_at: when the report arrived.
+    :param received_at: when the report arrived.
     :param foreign_per_ms: jobs that others place, learned from reports.
     :param own_accepted: jobs placed here before the last report.
     :param excluded_until: no new work before, after failures.
@@ -69,7 +69,7 @@
     memory_tokens: int
     draining: bool = False
     report: LoadReport | None = None
-    heard_at: Millis = 0
+    received_at: Millis = 0
     foreign_per_ms: float = 0
     own_accepted: int = 0
     own_at_report: int = 0
@@ -139,7 +139,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LoadHeard:
+class LoadReportReceived:
     """An engine's report arrived."""
 
     upstream: str
@@ -198,7 +198,7 @@
     WorkArrived
     | WorkEnded
     | WorkAbandoned
-    | LoadHeard
+    | LoadReportReceived
     | UpstreamFailed
     | TargetsChanged
     | EntryGone
--- a/src/cartdale/routing/views.py
+++ b/src/cartdale/routing/views.py
@@ -15,7 +15,7 @@
 _SMOOTHING = 0.3
 
 
-def hear_load(
+def receive_load_report(
     state: RoutingState, upstream: str, report: LoadReport, now: Millis
 ) -> RoutingState:
     """Take a report; one that is older than the last is ignored."""
@@ -29,7 +29,7 @@
         replace(
             view,
             report=report,
-            heard_at=now,
+            received_at=now,
             foreign_per_ms=_learn_foreign(view, report),
             own_at_report=view.own_accepted,
             failures=0,
@@ -45,7 +45,7 @@
         (placement.placed_at, work_id)
         for work_id, placement in state.placements_by_work.items()
         if placement.upstream == view.upstream
-        and placement.placed_at < view.heard_at
+        and placement.placed_at < view.received_at
     ]
     excess = len(older) - report.running - report.waiting
     if excess <= 0:
--- a/tests/load/test_cold_upstreams.py
+++ b/tests/load/test_cold_upstreams.py
@@ -215,7 +215,7 @@
     assert not choose_many(fleet)
     clock.advance(600)
     # Peers repeat what they read; it does not begin anew.
-    fleet.dispatch(EntryWritten(again, heard=True))
+    fleet.dispatch(EntryWritten(again, from_peer=True))
     clock.advance(100)
     assert choose_many(fleet) == {'only': 100}
 
--- a/tests/test_domain_news.py
+++ b/tests/test_domain_news.py
@@ -260,9 +260,9 @@
 
 def test_loads_of_a_domain_are_those_around_and_no_others() -> None:
     book = LoadBook()
-    book.hear('east-1', {'u': Load(runs=2)}, 0)
-    book.hear('east-2', {'u': Load(runs=3)}, 0)
-    book.hear(f'{DOMAIN_PREFIX}west', {'u': Load(runs=7)}, 0)
+    book.receive('east-1', {'u': Load(runs=2)}, 0)
+    book.receive('east-2', {'u': Load(runs=3)}, 0)
+    book.receive(f'{DOMAIN_PREFIX}west', {'u': Load(runs=7)}, 0)
     assert book.shared_totals(('east-1', 'east-2'), 0) == {'u': Load(runs=5)}
     assert book.totals(0) == {'u': Load(runs=12)}
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -14,7 +14,7 @@
     LAPSED_KEPT_MS,
     decide,
 )
-from cartdale.fleet.departures import HEARD_AFTER_MS, LEAVING_KEPT_MS
+from cartdale.fleet.departures import LEAVING_KEPT_MS, PEER_REPORT_IGNORED_MS
 from cartdale.fleet.health import TOLD_AVOIDED_MS
 from cartdale.fleet.loads import (
     PEER_LOAD_KEPT_MS,
@@ -97,16 +97,16 @@
 
 
 def test_peers_that_are_behind_neither_take_away_nor_bring_back() -> None:
-    back = EntryWritten(make_entry('a'), heard=True)
-    gone = EntryRemoved('a', heard=True)
+    back = EntryWritten(make_entry('a'), from_peer=True)
+    gone = EntryRemoved('a', from_peer=True)
     state, _ = decide(make_fleet('a'), EntryRemoved('a'), 5)
-    early, _ = decide(state, back, 4 + HEARD_AFTER_MS)
+    early, _ = decide(state, back, 4 + PEER_REPORT_IGNORED_MS)
     assert pick(early, RequestNeeds('s')) is None
-    state, _ = decide(state, back, 5 + HEARD_AFTER_MS)
+    state, _ = decide(state, back, 5 + PEER_REPORT_IGNORED_MS)
     assert pick(state, RequestNeeds('s')) == 'a'
-    state, _ = decide(state, gone, 6 + HEARD_AFTER_MS)
+    state, _ = decide(state, gone, 6 + PEER_REPORT_IGNORED_MS)
     assert pick(state, RequestNeeds('s')) == 'a'
-    state, _ = decide(state, gone, 5 + 2 * HEARD_AFTER_MS)
+    state, _ = decide(state, gone, 5 + 2 * PEER_REPORT_IGNORED_MS)
     assert pick(state, RequestNeeds('s')) is None
 
 
@@ -208,7 +208,7 @@
     run = Assignment('a', prompt=100, expected=0)
     run.backup = 'b'
     book.assign(run)
-    book.hear('peer', {'a': Load(runs=2, tokens=30)}, 1000)
+    book.receive('peer', {'a': Load(runs=2, tokens=30)}, 1000)
     totals = book.totals(1000)
     assert totals['a'] == Load(3, 130, 0, 100, exempt=1, long=1)
     assert totals['b'] == Load(tokens=100)
--- a/tests/test_heard_departures.py
+++ b/tests/test_heard_departures.py
@@ -132,7 +132,7 @@
     state, _ = decide(make_fleet('a'), make_said(), 10)
     kept, _ = decide(state, TimePassed(), 10 + LEAVING_KEPT_MS)
     assert 'a' in kept.upstreams_by_id
-    for lapsed in (EntryRemoved('a', True), EntryRemoved('a', heard=True)):
+    for lapsed in (EntryRemoved('a', True), EntryRemoved('a', from_peer=True)):
         unsure, _ = decide(state, lapsed, 20)
         kept, _ = decide(unsure, TimePassed(), 10 + LEAVING_KEPT_MS)
         assert 'a' in kept.upstreams_by_id
@@ -147,7 +147,7 @@
     state, _ = decide(make_fleet('a', born=1), make_said(), 10)
     state, actions = decide(state, EntryWritten(make_entry('a', born=2)), 20)
     assert Restarted('a') in actions
-    state, actions = decide(state, make_said(heard=True, born=1), 30)
+    state, actions = decide(state, make_said(from_peer=True, born=1), 30)
     assert not actions
     assert state.upstreams_by_id['a'].lifecycle is Lifecycle.LIVE
 
@@ -174,7 +174,9 @@
     news = decode_binary(bytes(envelope.body), LoadNews)
     _, actions = decide_news(NewsState(), NewsArrived('p', news), 0, 0)
     assert TakeLeaving('a', 1, said=True) in actions
-    told = decide(make_fleet('a', born=1), make_said(heard=True, born=1), 0)[0]
+    told = decide(
+        make_fleet('a', born=1), make_said(from_peer=True, born=1), 0
+    )[0]
     after, _ = decide(told, EntryWritten(make_entry('a', born=1)), 10**5)
     assert after.upstreams_by_id['a'].lifecycle is Lifecycle.LEAVING
     # Who was told does not tell it as its own news.
--- a/tests/test_outlook.py
+++ b/tests/test_outlook.py
@@ -80,7 +80,7 @@
     fleet = Fleet(clock, 'west', 1)
     fleet.table = RoutingTable(1, services_by_name={'s': SPEC})
     fleet.dispatch(EntriesListed((make_entry('a', slots=64),)))
-    fleet.loads.hear('peer', {'a': FULL}, clock.now())
+    fleet.loads.receive('peer', {'a': FULL}, clock.now())
     return fleet
 
 
@@ -116,7 +116,7 @@
         nursery.start_soon(place)
         await trio.sleep(0.3)
         assert not placed
-        fleet.loads.hear('peer', {}, clock.now())
+        fleet.loads.receive('peer', {}, clock.now())
         fleet.notify()
     assert placed[0].entry.upstream == 'a'
 
@@ -138,7 +138,7 @@
         await trio.sleep(0.1)
         nursery.start_soon(place, 0)
         await trio.sleep(0.1)
-        fleet.loads.hear('peer', {}, clock.now())
+        fleet.loads.receive('peer', {}, clock.now())
         fleet.notify()
     assert order == [0, 1]
 
@@ -155,7 +155,7 @@
         async def grow() -> None:
             await trio.sleep(0.2)
             stuck = Load(runs=4, tokens=9900, growth=9000, long=4)
-            fleet.loads.hear('peer', {'a': stuck}, clock.now())
+            fleet.loads.receive('peer', {'a': stuck}, clock.now())
 
         nursery.start_soon(grow)
         refused = await admission.place(make_waiting(clock, 1500))
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -16,7 +16,7 @@
     EngineView,
     EntryGone,
     LeaveBegan,
-    LoadHeard,
+    LoadReportReceived,
     Place,
     Refuse,
     RoutingState,
@@ -183,16 +183,16 @@
     state, _ = decide(state, UpstreamFailed('e0'), 1000)
     assert state.engines_by_upstream['e0'].excluded_until == 3000
     report = LoadReport(1, 0, 0, 0, 0, 20, 0)
-    state, _ = decide(state, LoadHeard('e0', report), 3000)
+    state, _ = decide(state, LoadReportReceived('e0', report), 3000)
     assert state.engines_by_upstream['e0'].failures == 0
 
 
 def test_an_older_report_is_ignored() -> None:
     state = make_routing()
     new = LoadReport(100, 50, 1, 0, 1, 20, 0)
-    state, _ = decide(state, LoadHeard('e0', new), 100)
-    state, _ = decide(state, LoadHeard('e0', replace(new, at=50)), 200)
-    assert state.engines_by_upstream['e0'].heard_at == 100
+    state, _ = decide(state, LoadReportReceived('e0', new), 100)
+    state, _ = decide(state, LoadReportReceived('e0', replace(new, at=50)), 200)
+    assert state.engines_by_upstream['e0'].received_at == 100
 
 
 def test_a_leaving_placer_hands_its_queue_back() -> None:
@@ -223,7 +223,7 @@
     empty = LoadReport(1, 0, 0, 0, 1, 20, 0)
     for now in (100, 200):
         report = replace(empty, at=now)
-        state, _ = decide(state, LoadHeard('e0', report), now)
+        state, _ = decide(state, LoadReportReceived('e0', report), now)
     assert not state.placements_by_work
 
 
--- a/tests/test_targets.py
+++ b/tests/test_targets.py
@@ -30,7 +30,7 @@
     for entry in (SOURCE, OTHER):
         fleet.dispatch(EntryWritten(entry))
     loads = {'a': at_source, 'b': at_other}
-    fleet.loads.hear('peer', loads, 0)
+    fleet.loads.receive('peer', loads, 0)
     return fleet
 
 
@@ -95,7 +95,7 @@
         fleet.dispatch(
             EntryWritten(UpstreamEntry(name, 's', f'{name}:80', domain, 64))
         )
-    fleet.loads.hear('peer', {'e0': Load(4, 14000)}, 0)
+    fleet.loads.receive('peer', {'e0': Load(4, 14000)}, 0)
     routed = make_routed(900)
     target = choose_target(fleet, routed, Load(1, 3000), SOURCE, ())
     assert target is not None
--- a/tests/test_upstream_lives.py
+++ b/tests/test_upstream_lives.py
@@ -7,7 +7,7 @@
 from cartdale.clock import VirtualClock
 from cartdale.codec import decode_binary, encode_json
 from cartdale.fleet.decide import decide
-from cartdale.fleet.departures import HEARD_AFTER_MS
+from cartdale.fleet.departures import PEER_REPORT_IGNORED_MS
 from cartdale.fleet.driver import Fleet
 from cartdale.fleet.stored import Unreadable
 from cartdale.fleet.types import (
@@ -53,9 +53,9 @@
 
 
 def write(state: FleetState, born: int, now: int = 0, **changes):
-    heard = changes.pop('heard', False)
+    from_peer = changes.pop('from_peer', False)
     entry = make_entry('a', born=born, **changes)
-    return decide(state, EntryWritten(entry, heard=heard), now)
+    return decide(state, EntryWritten(entry, from_peer=from_peer), now)
 
 
 def test_a_new_life_begins_anew() -> None:
@@ -72,28 +72,28 @@
     assert upstream.warm_at == 700
 
 
-@pytest.mark.parametrize('heard', [False, True])
-def test_an_upstream_that_left_may_start_again(heard: bool) -> None:
+@pytest.mark.parametrize('from_peer', [False, True])
+def test_an_upstream_that_left_may_start_again(from_peer: bool) -> None:
     state = make_fleet('a', born=1)
     state, _ = write(state, 1, 100, lifecycle=Lifecycle.LEAVING)
-    state, _ = write(state, 1, 200, heard=heard)
+    state, _ = write(state, 1, 200, from_peer=from_peer)
     assert state.upstreams_by_id['a'].lifecycle is Lifecycle.LEAVING
-    state, _ = write(state, 2, 300, heard=heard)
+    state, _ = write(state, 2, 300, from_peer=from_peer)
     assert state.upstreams_by_id['a'].lifecycle is Lifecycle.LIVE
 
 
 def test_peers_that_know_only_the_life_before_change_nothing() -> None:
     state, _ = write(make_fleet('a', born=1), 2, 100)
     assert write(state, 1, 200, lifecycle=Lifecycle.LEAVING) == (state, ())
-    gone = EntryRemoved('a', heard=True, born=1)
+    gone = EntryRemoved('a', from_peer=True, born=1)
     assert decide(state, gone, 200) == (state, ())
-    assert decide(state, gone, 100 + HEARD_AFTER_MS) == (state, ())
+    assert decide(state, gone, 100 + PEER_REPORT_IGNORED_MS) == (state, ())
 
 
 def test_a_peer_tells_at_once_that_the_new_life_leaves() -> None:
     """It drained half a second after its start, and one did not hear."""
     state, _ = write(make_fleet('a', born=1), 2, 100)
-    gone = EntryRemoved('a', heard=True, born=2)
+    gone = EntryRemoved('a', from_peer=True, born=2)
     after, actions = decide(state, gone, 200)
     assert after.upstreams_by_id['a'].lifecycle is Lifecycle.LEAVING
     assert actions == (BeganLeaving('a'),)
