--- a/src/cartdale/daemon/briefing.py
+++ b/src/cartdale/daemon/briefing.py
@@ -7,7 +7,7 @@
 from cartdale.fleet.types import (
     EntryRemoved,
     EntryWritten,
-    EvacuationsTold,
+    EvacuationsReceived,
     Lifecycle,
 )
 from cartdale.news.types import PeerListed
@@ -67,7 +67,7 @@
             return
         if briefing.key:
             self._peers.take_key(briefing.key)
-        self._fleet.dispatch(EvacuationsTold(briefing.evacuations))
+        self._fleet.dispatch(EvacuationsReceived(briefing.evacuations))
         for peer in briefing.peers:
             self._peers.news.tell(PeerListed(peer))
         for entry in briefing.entries:
--- a/src/cartdale/fleet/advisories.py
+++ b/src/cartdale/fleet/advisories.py
@@ -8,9 +8,9 @@
 from cartdale.fleet.types import (
     Advisory,
     BackoffRequested,
+    LeavingAnnounced,
     Lifecycle,
-    NamedLimit,
-    SaidLeaving,
+    LimitAdvertised,
     Upstream,
 )
 
@@ -45,14 +45,14 @@
         if before is None:
             return
         if advisory.leaving:
-            self._fleet.dispatch(SaidLeaving(upstream))
+            self._fleet.dispatch(LeavingAnnounced(upstream))
         if advisory.backoff:
             self._fleet.dispatch(BackoffRequested(upstream, advisory.backoff))
         self._take_limit(before, advisory, asked_at)
         after = self._fleet.find(upstream)
         if after is None or _is_same(before, after):
             return
-        self._fleet.departures_heard += advisory.leaving
+        self._fleet.departures_observed += advisory.leaving
         self._fleet.announce()
         logger.info(
             'upstream says',
@@ -92,7 +92,7 @@
         # Nearly all answers name none where there was none.
         if told:
             book.note(upstream, named, self._clock.now())
-            self._fleet.dispatch(NamedLimit(upstream, named))
+            self._fleet.dispatch(LimitAdvertised(upstream, named))
 
 
 def _is_same(before: Upstream, after: Upstream) -> bool:
@@ -102,7 +102,7 @@
     limits = before.rate_limit, after.rate_limit
     same_limit = limits[0].per_second == limits[1].per_second
     others = (
-        (each.lifecycle, each.told_here, each.backoff_until)
+        (each.lifecycle, each.leaving_observed_locally, each.backoff_until)
         for each in (before, after)
     )
     return same_limit and len(set(others)) == 1
--- a/src/cartdale/fleet/decide.py
+++ b/src/cartdale/fleet/decide.py
@@ -15,6 +15,7 @@
 from cartdale.fleet.statements import lapse_limits, take_statement
 from cartdale.fleet.types import (
     Action,
+    AddressTakenOver,
     BeganEvacuating,
     Decision,
     EndedEvacuating,
@@ -22,15 +23,14 @@
     EntryRemoved,
     EntryWritten,
     EvacuationsListed,
-    EvacuationsTold,
+    EvacuationsReceived,
     FleetState,
+    LeavingAnnounced,
     Lifecycle,
+    LimitAdvertised,
     Message,
-    NamedLimit,
-    Replaced,
     Restarted,
     Returned,
-    SaidLeaving,
     TimePassed,
     Upstream,
     UpstreamEntry,
@@ -55,11 +55,11 @@
             return _write(state, entry, now, from_peer=message.from_peer)
         case EntryRemoved():
             return _remove(state, message, now)
-        case SaidLeaving() | NamedLimit():
+        case LeavingAnnounced() | LimitAdvertised():
             return take_statement(state, message, now)
-        case Replaced(upstream=name):
+        case AddressTakenOver(upstream=name):
             return _drop(state, (name,))
-        case EvacuationsTold(evacuations=told):
+        case EvacuationsReceived(evacuations=told):
             return _evacuate(state, told, now)
         case EvacuationsListed(restored=True):
             return _evacuate(state, message.evacuations, now)
--- a/src/cartdale/fleet/departures.py
+++ b/src/cartdale/fleet/departures.py
@@ -7,8 +7,8 @@
     Action,
     BeganLeaving,
     EntryRemoved,
+    LeavingAnnounced,
     Lifecycle,
-    SaidLeaving,
     Upstream,
     UpstreamEntry,
 )
@@ -22,10 +22,10 @@
 #: The same for one that said itself that it leaves, while its entry may still
 #: say otherwise: it serves on for as long as the store is away, which may be
 #: minutes, and its old entry comes back with the store.
-SAID_LEAVING_KEPT_MS: Millis = 10 * MINUTE_MS
+ANNOUNCED_LEAVING_KEPT_MS: Millis = 10 * MINUTE_MS
 
 
-def take_word(known: Upstream, said: SaidLeaving, now: Millis) -> Upstream:
+def take_word(known: Upstream, said: LeavingAnnounced, now: Millis) -> Upstream:
     """Take an upstream's own word that it leaves, as if its entry said so.
 
     It is newer than what the store and peers tell, and no life takes it back:
@@ -33,14 +33,19 @@
     """
     if is_of_another_life(said.born, known):
         return known
-    told_here = known.told_here or not said.from_peer
-    if known.said_leaving and told_here == known.told_here:
+    leaving_observed_locally = (
+        known.leaving_observed_locally or not said.from_peer
+    )
+    if (
+        known.announced_leaving
+        and leaving_observed_locally == known.leaving_observed_locally
+    ):
         return known
     leaving = replace(
         known,
         entry=replace(known.entry, lifecycle=Lifecycle.LEAVING),
         lifecycle=Lifecycle.LEAVING,
-        told_here=told_here,
+        leaving_observed_locally=leaving_observed_locally,
     )
     if known.lifecycle is Lifecycle.LEAVING:
         return leaving
@@ -65,10 +70,10 @@
 
     One that says that it leaves does not come back in this life.
     """
-    if entry.lifecycle is Lifecycle.LEAVING and not known.said_leaving:
+    if entry.lifecycle is Lifecycle.LEAVING and not known.announced_leaving:
         return replace(known, entry=entry)
     early = from_peer and now - known.changed_at < PEER_REPORT_IGNORED_MS
-    if known.said_leaving or early:
+    if known.announced_leaving or early:
         return known
     return replace(
         known,
@@ -92,8 +97,8 @@
 
 def find_kept(leaving: Upstream) -> Millis:
     """Return for how long an upstream that leaves is remembered."""
-    may_be_back = leaving.said_leaving and not leaving.unlisted
-    return SAID_LEAVING_KEPT_MS if may_be_back else LEAVING_KEPT_MS
+    may_be_back = leaving.announced_leaving and not leaving.unlisted
+    return ANNOUNCED_LEAVING_KEPT_MS if may_be_back else LEAVING_KEPT_MS
 
 
 def find_warm_at(
--- a/src/cartdale/fleet/driver.py
+++ b/src/cartdale/fleet/driver.py
@@ -87,7 +87,7 @@
         #: Counts what changed in the upstreams' lifecycles, for news.
         self.lifecycles = 0
         #: Counts the upstreams that said to this instance that they leave.
-        self.departures_heard = 0
+        self.departures_observed = 0
         #: Upstreams among which the best is chosen.
         self.choices = CHOICES
         self._changed = trio.Event()
--- a/src/cartdale/fleet/follow.py
+++ b/src/cartdale/fleet/follow.py
@@ -32,7 +32,7 @@
     EntryRemoved,
     EntryWritten,
     EvacuationsListed,
-    EvacuationsTold,
+    EvacuationsReceived,
     Lifecycle,
     UpstreamEntry,
 )
@@ -316,7 +316,7 @@
                 after_outage = self._had_outage()
                 self._fleet.dispatch(EntryRemoved(upstream, after_outage))
             case EvacuationWritten(evacuation=evacuation):
-                self._fleet.dispatch(EvacuationsTold((evacuation,)))
+                self._fleet.dispatch(EvacuationsReceived((evacuation,)))
             case OwnKey():
                 self._take_own(change)
             case Unreadable(detail=detail):
--- a/src/cartdale/fleet/health.py
+++ b/src/cartdale/fleet/health.py
@@ -7,8 +7,8 @@
 from cartdale.fleet.types import (
     BackoffRequested,
     FleetState,
+    ReportedUnreachable,
     RequestEnded,
-    ToldFailing,
     Upstream,
 )
 
@@ -23,7 +23,7 @@
 
 def judge(
     state: FleetState,
-    message: BackoffRequested | RequestEnded | ToldFailing,
+    message: BackoffRequested | RequestEnded | ReportedUnreachable,
     now: Millis,
 ) -> FleetState:
     """Take what says how well an upstream does its work."""
@@ -32,7 +32,7 @@
             return _rest(state, message, now)
         case RequestEnded():
             return _count(state, message, now)
-        case ToldFailing(upstream=name):
+        case ReportedUnreachable(upstream=name):
             return _avoid(state, name, now)
         case _:
             assert_never(message)
--- a/src/cartdale/fleet/statements.py
+++ b/src/cartdale/fleet/statements.py
@@ -19,35 +19,35 @@
 from cartdale.fleet.types import (
     Decision,
     FleetState,
+    LeavingAnnounced,
     Lifecycle,
+    LimitAdvertised,
     LimitChanged,
-    NamedLimit,
-    SaidLeaving,
     Upstream,
 )
 
 
 def take_statement(
-    state: FleetState, said: SaidLeaving | NamedLimit, now: Millis
+    state: FleetState, said: LeavingAnnounced | LimitAdvertised, now: Millis
 ) -> Decision:
     """Take what an upstream said to this instance or to a peer."""
     known = state.upstreams_by_id.get(said.upstream)
     if known is None:
         return state, ()
     match said:
-        case SaidLeaving():
+        case LeavingAnnounced():
             told = take_word(known, said, now)
             began = known.lifecycle is not Lifecycle.LEAVING
             actions = announce_departure(told) if began else ()
             return put(state, told), actions
-        case NamedLimit():
+        case LimitAdvertised():
             return _take_limit(state, known, said)
         case _:
             assert_never(said)
 
 
 def _take_limit(
-    state: FleetState, known: Upstream, named: NamedLimit
+    state: FleetState, known: Upstream, named: LimitAdvertised
 ) -> Decision:
     if is_of_another_life(named.born, known):
         return state, ()
--- a/src/cartdale/fleet/types.py
+++ b/src/cartdale/fleet/types.py
@@ -107,8 +107,8 @@
         failures seen here or told by others.
     :param backoff_until: nothing is sent there before this time, as it asked
         this instance.
-    :param told_here: whether it said in an answer to this instance that it
-        leaves.
+    :param leaving_observed_locally: whether it said in an answer to this
+        instance that it leaves.
     :param unlisted: whether the store removed its entry since it leaves.
     :param rate_limit: what it takes from all instances together.
     """
@@ -123,12 +123,12 @@
     unreachable_until: Millis = 0
     avoided_until: Millis = 0
     backoff_until: Millis = 0
-    told_here: bool = False
+    leaving_observed_locally: bool = False
     unlisted: bool = False
     rate_limit: RateLimit = UNLIMITED
 
     @property
-    def said_leaving(self) -> bool:
+    def announced_leaving(self) -> bool:
         """Tell whether it said itself that it leaves; it never returns."""
         return self.entry.lifecycle is Lifecycle.LEAVING
 
@@ -186,7 +186,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SaidLeaving:
+class LeavingAnnounced:
     """An upstream said itself that it leaves, in an answer.
 
     :param from_peer: whether a peer told it, whom it had answered.
@@ -210,7 +210,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NamedLimit:
+class LimitAdvertised:
     """An upstream named its rate limit, or none, in an answer.
 
     :param born: start of the life that named it; 0 when that is not told.
@@ -235,21 +235,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ToldFailing:
+class ReportedUnreachable:
     """Several others can't reach an upstream."""
 
     upstream: str
 
 
 @dataclass(frozen=True, slots=True)
-class Replaced:
+class AddressTakenOver:
     """Another upstream answered at this one's address."""
 
     upstream: str
 
 
 @dataclass(frozen=True, slots=True)
-class EvacuationsTold:
+class EvacuationsReceived:
     """The store or a peer told of evacuations, present and past."""
 
     evacuations: tuple[Evacuation, ...]
@@ -333,13 +333,13 @@
     EntriesListed
     | EntryWritten
     | EntryRemoved
-    | SaidLeaving
+    | LeavingAnnounced
     | BackoffRequested
-    | NamedLimit
+    | LimitAdvertised
     | RequestEnded
-    | ToldFailing
-    | Replaced
-    | EvacuationsTold
+    | ReportedUnreachable
+    | AddressTakenOver
+    | EvacuationsReceived
     | EvacuationsListed
     | TimePassed
 )
--- a/src/cartdale/moves/driver.py
+++ b/src/cartdale/moves/driver.py
@@ -7,7 +7,7 @@
 
 from cartdale.clock import Clock, seconds
 from cartdale.fleet.driver import Fleet
-from cartdale.fleet.types import Lifecycle, SaidLeaving, UpstreamEntry
+from cartdale.fleet.types import LeavingAnnounced, Lifecycle, UpstreamEntry
 from cartdale.moves.estimates import (
     OTHER_DOMAIN_FACTOR,
     SAME_DOMAIN_FACTOR,
@@ -170,7 +170,7 @@
         report = await read_report(self._upstreams, known.entry)
         if report.leaving or report.leaves_in is not None:
             logger.info('engine says it leaves', upstream=name)
-            self._fleet.dispatch(SaidLeaving(name, born=report.born))
+            self._fleet.dispatch(LeavingAnnounced(name, born=report.born))
 
     def _is_leaving(self, name: str) -> bool:
         known = self._fleet.find(name)
--- a/src/cartdale/news/driver.py
+++ b/src/cartdale/news/driver.py
@@ -14,10 +14,10 @@
 from cartdale.fleet.types import (
     EntryRemoved,
     EntryWritten,
-    EvacuationsTold,
-    NamedLimit,
-    SaidLeaving,
-    ToldFailing,
+    EvacuationsReceived,
+    LeavingAnnounced,
+    LimitAdvertised,
+    ReportedUnreachable,
 )
 from cartdale.formatting import format_error
 from cartdale.news.decide import count_alive, decide, is_silent
@@ -124,11 +124,11 @@
                 case TakeLeaving() | TakeLimit():
                     self._take_statement(action)
                 case TakeEvacuations(evacuations=evacuations):
-                    self._fleet.dispatch(EvacuationsTold(evacuations))
+                    self._fleet.dispatch(EvacuationsReceived(evacuations))
                 case CrashesTold():
                     self._fleet.quarantine.tell(action)
                 case AvoidUpstream(upstream=upstream):
-                    self._fleet.dispatch(ToldFailing(upstream))
+                    self._fleet.dispatch(ReportedUnreachable(upstream))
                 case FetchTable(peer=newer):
                     self._fetch_table(newer)
                 case ForwardNews():
@@ -205,7 +205,7 @@
         match told:
             case TakeLeaving(upstream=name, born=born, said=True):
                 self._fleet.dispatch(
-                    SaidLeaving(name, from_peer=True, born=born)
+                    LeavingAnnounced(name, from_peer=True, born=born)
                 )
             case TakeLeaving(upstream=name, born=born):
                 self._fleet.dispatch(
@@ -213,7 +213,7 @@
                 )
             case TakeLimit(upstream=name, news=news):
                 limit = read_limit(news, self._clock.now())
-                self._fleet.dispatch(NamedLimit(name, limit, news.born))
+                self._fleet.dispatch(LimitAdvertised(name, limit, news.born))
 
     def _take_loads(
         self, peer: str, loads_by_upstream: dict[str, Load]
--- a/src/cartdale/news/writing.py
+++ b/src/cartdale/news/writing.py
@@ -84,7 +84,7 @@
             evacuations=self._fleet.list_evacuations(),
             crashes=self._fleet.quarantine.list_news(),
             births=self._list_births(leaving),
-            departing=self._list_departing(leaving, told_here=True),
+            departing=self._list_departing(leaving, observed_locally=True),
             limits=self.list_limits(),
             offers=self._fleet.limits.measure_offers(),
         )
@@ -174,7 +174,7 @@
             self.list_unreachable(),
             lost=self._store_lost(),
             crashes=self._fleet.quarantine.version,
-            departures=self._fleet.departures_heard,
+            departures=self._fleet.departures_observed,
             limits=self._fleet.limits.book.version,
         )
 
@@ -188,17 +188,23 @@
         )
 
     def _list_departing(
-        self, leaving: tuple[str, ...], *, told_here: bool = False
+        self, leaving: tuple[str, ...], *, observed_locally: bool = False
     ) -> tuple[str, ...]:
         """Return those that said themselves that they leave.
 
-        :param told_here: only those that said it to this instance: if each
-            told what it was told, a departure would be told by all to all.
+        :param observed_locally: only those that said it to this instance: if
+            each told what it was told, a departure would be told by all to all.
         """
         upstreams_by_id = self._fleet.state.upstreams_by_id
-        said = [name for name in leaving if upstreams_by_id[name].said_leaving]
-        if told_here:
-            said = [name for name in said if upstreams_by_id[name].told_here]
+        said = [
+            name for name in leaving if upstreams_by_id[name].announced_leaving
+        ]
+        if observed_locally:
+            said = [
+                name
+                for name in said
+                if upstreams_by_id[name].leaving_observed_locally
+            ]
         return tuple(said)
 
     def _list_births(self, leaving: tuple[str, ...]) -> dict[str, Millis]:
@@ -214,5 +220,8 @@
             upstream.entry
             for upstream in self._fleet.state.upstreams_by_id.values()
             if now - upstream.changed_at <= _CHANGED_TOLD
-            and (upstream.lifecycle is Lifecycle.LIVE or upstream.said_leaving)
+            and (
+                upstream.lifecycle is Lifecycle.LIVE
+                or upstream.announced_leaving
+            )
         )
--- a/src/cartdale/relay/attempts.py
+++ b/src/cartdale/relay/attempts.py
@@ -11,7 +11,7 @@
 from cartdale.fleet.choose import RequestNeeds
 from cartdale.fleet.driver import Fleet
 from cartdale.fleet.pace import Pace
-from cartdale.fleet.types import Replaced, RequestEnded, Upstream
+from cartdale.fleet.types import AddressTakenOver, RequestEnded, Upstream
 from cartdale.formatting import list_plain_fields
 from cartdale.problems.types import NotRun
 from cartdale.relay.admission import NoRoom, Waiting
@@ -192,7 +192,7 @@
         case Standing.RAN:
             return None
         case Standing.REPLACED:
-            fleet.dispatch(Replaced(upstream))
+            fleet.dispatch(AddressTakenOver(upstream))
     return Declined(rests=answer.backoff > 0)
 
 
--- a/tests/load/test_cold_upstreams.py
+++ b/tests/load/test_cold_upstreams.py
@@ -23,7 +23,7 @@
 from cartdale.fleet.types import (
     EntriesListed,
     EntryWritten,
-    EvacuationsTold,
+    EvacuationsReceived,
     UpstreamEntry,
 )
 from cartdale.routes.types import RoutingTable, ServiceSpec
@@ -223,9 +223,9 @@
 def test_whole_domain_may_be_cold_when_its_evacuation_ends() -> None:
     clock = VirtualClock()
     fleet = make_fleet(clock, make_entry('only', slots=1000))
-    fleet.dispatch(EvacuationsTold((Evacuation('west', 5),)))
+    fleet.dispatch(EvacuationsReceived((Evacuation('west', 5),)))
     assert not choose_many(fleet)
-    fleet.dispatch(EvacuationsTold((Evacuation('west', 6, active=False),)))
+    fleet.dispatch(EvacuationsReceived((Evacuation('west', 6, active=False),)))
     assert not choose_many(fleet)
     clock.advance(1000)
     assert choose_many(fleet) == {'only': 100}
--- a/tests/test_briefing.py
+++ b/tests/test_briefing.py
@@ -71,7 +71,7 @@
         runtime = stage.runtimes[0]
         stage.drain(stage.engines[0])
         await until(
-            lambda: runtime.fleet.find('engine-0').said_leaving,
+            lambda: runtime.fleet.find('engine-0').announced_leaving,
         )
         listed = runtime._briefings.describe().entries
         assert {each.upstream for each in listed} == {'engine-1', 'plain-0'}
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -27,7 +27,7 @@
     EndedEvacuating,
     EntriesListed,
     EvacuationsListed,
-    EvacuationsTold,
+    EvacuationsReceived,
     FleetState,
 )
 from cartdale.news.decide import decide as decide_news
@@ -73,7 +73,7 @@
         make_entry('b', failure_domain='east'),
     )
     state, _ = decide(FleetState(), EntriesListed(entries), now)
-    return decide(state, EvacuationsTold(told), now)[0]
+    return decide(state, EvacuationsReceived(told), now)[0]
 
 
 def list_names(state: FleetState) -> list[str]:
@@ -122,12 +122,12 @@
 
 def test_changes_are_told_once() -> None:
     state = make_state()
-    state, began = decide(state, EvacuationsTold((BEGUN,)), 5)
+    state, began = decide(state, EvacuationsReceived((BEGUN,)), 5)
     assert began == (BeganEvacuating('west', 7),)
-    same, nothing = decide(state, EvacuationsTold((BEGUN,)), 6)
+    same, nothing = decide(state, EvacuationsReceived((BEGUN,)), 6)
     assert same is state
     assert not nothing
-    _, ended = decide(state, EvacuationsTold((ENDED,)), 7)
+    _, ended = decide(state, EvacuationsReceived((ENDED,)), 7)
     assert ended == (EndedEvacuating('west', 9),)
 
 
@@ -136,7 +136,7 @@
     state, _ = decide(state, EvacuationsListed((), 8), 5)
     assert list_names(state) == ['a', 'b']
     # A peer that was told before the end does not bring it back.
-    state, _ = decide(state, EvacuationsTold((BEGUN,)), 6)
+    state, _ = decide(state, EvacuationsReceived((BEGUN,)), 6)
     assert list_names(state) == ['a', 'b']
 
 
@@ -163,7 +163,7 @@
             )
         )
     )
-    fleet.dispatch(EvacuationsTold(told))
+    fleet.dispatch(EvacuationsReceived(told))
     return fleet
 
 
@@ -183,13 +183,13 @@
     clock = VirtualClock()
     fleet = make_fleet(clock=clock)
     assert fleet.may_finish_move(SOURCE)
-    fleet.dispatch(EvacuationsTold((BEGUN,)))
+    fleet.dispatch(EvacuationsReceived((BEGUN,)))
     clock.advance(FINISHES_MOVES)
     assert fleet.may_finish_move(SOURCE)
     clock.advance(1)
     assert not fleet.may_finish_move(SOURCE)
     # What comes later does not begin the moment again.
-    fleet.dispatch(EvacuationsTold((Evacuation('west', 30),)))
+    fleet.dispatch(EvacuationsReceived((Evacuation('west', 30),)))
     assert not fleet.may_finish_move(SOURCE)
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -23,17 +23,17 @@
     LoadBook,
 )
 from cartdale.fleet.types import (
+    AddressTakenOver,
     BeganLeaving,
     EntriesListed,
     EntryRemoved,
     EntryWritten,
     FleetState,
     Lifecycle,
-    Replaced,
+    ReportedUnreachable,
     RequestEnded,
     Returned,
     TimePassed,
-    ToldFailing,
     UpstreamEntry,
     Vanished,
 )
@@ -134,7 +134,7 @@
 
 
 def test_replaced_upstream_vanishes() -> None:
-    state, actions = decide(make_fleet('a'), Replaced('a'), 5)
+    state, actions = decide(make_fleet('a'), AddressTakenOver('a'), 5)
     assert not state.upstreams_by_id
     assert actions == (Vanished('a'),)
 
@@ -269,13 +269,13 @@
     needs = RequestNeeds('s')
     loads = {'b': Load(runs=3)}
     assert pick(state, needs, loads) == 'a'
-    state, _ = decide(state, ToldFailing('a'), 0)
+    state, _ = decide(state, ReportedUnreachable('a'), 0)
     assert pick(state, needs, loads) == 'b'
     assert pick(state, needs, loads, now=TOLD_AVOIDED_MS) == 'a'
     assert state.upstreams_by_id['a'].unreachable_until == 0
 
 
 def test_success_ends_the_avoidance_that_others_told() -> None:
-    state, _ = decide(make_fleet('a'), ToldFailing('a'), 0)
+    state, _ = decide(make_fleet('a'), ReportedUnreachable('a'), 0)
     state, _ = decide(state, RequestEnded('a', good=True), 10)
     assert state.upstreams_by_id['a'].avoided_until == 0
--- a/tests/test_heard_departures.py
+++ b/tests/test_heard_departures.py
@@ -17,7 +17,7 @@
 from cartdale.codec import decode_binary
 from cartdale.fleet.advisories import AdvisoryRecorder
 from cartdale.fleet.decide import decide
-from cartdale.fleet.departures import LEAVING_KEPT_MS, SAID_LEAVING_KEPT_MS
+from cartdale.fleet.departures import ANNOUNCED_LEAVING_KEPT_MS, LEAVING_KEPT_MS
 from cartdale.fleet.driver import Fleet
 from cartdale.fleet.types import (
     Advisory,
@@ -25,9 +25,9 @@
     EntriesListed,
     EntryRemoved,
     EntryWritten,
+    LeavingAnnounced,
     Lifecycle,
     Restarted,
-    SaidLeaving,
     TimePassed,
     Upstream,
     Vanished,
@@ -108,8 +108,8 @@
         assert await count_after_bound(stage, leaving) == 0
 
 
-def make_said(**told) -> SaidLeaving:
-    return SaidLeaving('a', **told)
+def make_said(**told) -> LeavingAnnounced:
+    return LeavingAnnounced('a', **told)
 
 
 def test_an_older_word_of_the_store_does_not_bring_it_back() -> None:
@@ -139,7 +139,7 @@
     removed, _ = decide(state, EntryRemoved('a'), 20)
     _, actions = decide(removed, TimePassed(), 10 + LEAVING_KEPT_MS)
     assert actions == (Vanished('a'),)
-    longest = 10 + SAID_LEAVING_KEPT_MS
+    longest = 10 + ANNOUNCED_LEAVING_KEPT_MS
     assert decide(state, TimePassed(), longest)[1] == (Vanished('a'),)
 
 
@@ -180,7 +180,7 @@
     after, _ = decide(told, EntryWritten(make_entry('a', born=1)), 10**5)
     assert after.upstreams_by_id['a'].lifecycle is Lifecycle.LEAVING
     # Who was told does not tell it as its own news.
-    assert not after.upstreams_by_id['a'].told_here
+    assert not after.upstreams_by_id['a'].leaving_observed_locally
 
 
 async def test_a_peer_that_it_never_answered_sends_it_nothing() -> None:
--- a/tests/test_limit_news.py
+++ b/tests/test_limit_news.py
@@ -15,8 +15,8 @@
     Advisory,
     EntryRemoved,
     EntryWritten,
+    LimitAdvertised,
     LimitChanged,
-    NamedLimit,
     TimePassed,
 )
 from cartdale.news.decide import ALIVE_MS
@@ -72,7 +72,9 @@
         _, actions = decide_news(NewsState(), NewsArrived('p', news), 0, 0)
         assert TakeLimit('a', news.limits['a']) in actions
         named = read_limit(news.limits['a'], clock.now())
-        known, actions = decide(known, NamedLimit('a', named, 1), clock.now())
+        known, actions = decide(
+            known, LimitAdvertised('a', named, 1), clock.now()
+        )
         assert actions == (LimitChanged('a', limit),)
         clock.advance(LATER)
 
@@ -81,7 +83,7 @@
     clock = VirtualClock(10_000)
     fleet = Fleet(clock, 'west', 1)
     fleet.dispatch(EntryWritten(make_entry('a')))
-    fleet.dispatch(NamedLimit('a', RateLimit(3, 9000, 9100)))
+    fleet.dispatch(LimitAdvertised('a', RateLimit(3, 9000, 9100)))
     assert fleet.limits.gate.find('a') is not None
     writer = NewsWriter(PEERS[1], fleet, clock, bool, bool)
     assert not writer.list_limits()
@@ -93,23 +95,26 @@
     ended = write_limit(RateLimit(inf, 950, 990), 0, 1000)
     arrived_at = 1200
     state = make_fleet('a')
-    state, _ = decide(state, NamedLimit('a', known), 1000)
-    told = NamedLimit('a', read_limit(ended, arrived_at))
+    state, _ = decide(state, LimitAdvertised('a', known), 1000)
+    told = LimitAdvertised('a', read_limit(ended, arrived_at))
     assert decide(state, told, arrived_at) == (state, ())
 
 
 def test_another_life_has_another_limit() -> None:
     state = make_fleet('a', born=2)
     named = RateLimit(3, 100, 200)
-    assert decide(state, NamedLimit('a', named, born=1), 200) == (state, ())
-    state, _ = decide(state, NamedLimit('a', named, born=2), 200)
+    assert decide(state, LimitAdvertised('a', named, born=1), 200) == (
+        state,
+        (),
+    )
+    state, _ = decide(state, LimitAdvertised('a', named, born=2), 200)
     state, _ = decide(state, EntryWritten(make_entry('a', born=3)), 300)
     assert not state.upstreams_by_id['a'].rate_limit.limited
 
 
 def test_an_entry_that_is_gone_and_back_keeps_its_limit() -> None:
     state = make_fleet('a', born=2)
-    state, _ = decide(state, NamedLimit('a', RateLimit(3, 100, 200)), 200)
+    state, _ = decide(state, LimitAdvertised('a', RateLimit(3, 100, 200)), 200)
     state, _ = decide(state, EntryRemoved('a', after_outage=True), 300)
     state, _ = decide(state, EntryWritten(make_entry('a', born=2)), 5000)
     assert state.upstreams_by_id['a'].rate_limit.per_second == 3
@@ -118,7 +123,7 @@
 def test_gate_lets_go_of_a_life_that_is_over() -> None:
     fleet = Fleet(VirtualClock(), 'west', 1)
     fleet.dispatch(EntryWritten(make_entry('a', born=1)))
-    fleet.dispatch(NamedLimit('a', RateLimit(3, 0, 0), born=1))
+    fleet.dispatch(LimitAdvertised('a', RateLimit(3, 0, 0), born=1))
     assert fleet.limits.gate.find('a') is not None
     fleet.dispatch(EntryWritten(make_entry('a', born=2)))
     assert fleet.limits.gate.find('a') is None
@@ -210,7 +215,7 @@
         clock.advance(50)
         advisories.record('a', Advisory(limit=limit), 'r', asked_at)
         for told in writer.list_limits().values():
-            named = NamedLimit('a', read_limit(told, clock.now()))
+            named = LimitAdvertised('a', read_limit(told, clock.now()))
             known, _ = decide(known, named, clock.now())
         if limit == inf and not known.upstreams_by_id['a'].rate_limit.limited:
             break
@@ -224,11 +229,11 @@
 def test_a_limit_that_nobody_names_any_more_lapses() -> None:
     """Whoever was cut off as it ended, and has no permit, hears of no end."""
     state = make_fleet('a')
-    state, _ = decide(state, NamedLimit('a', RateLimit(3, 0, 0)), 0)
+    state, _ = decide(state, LimitAdvertised('a', RateLimit(3, 0, 0)), 0)
     before = LIMIT_KEPT_MS - 1
     assert decide(state, TimePassed(), before)[0] is state
     state, actions = decide(state, TimePassed(), LIMIT_KEPT_MS)
     assert actions == (LimitChanged('a', inf),)
     again = RateLimit(3, LIMIT_KEPT_MS - 20, LIMIT_KEPT_MS + 10)
-    _, actions = decide(state, NamedLimit('a', again), LIMIT_KEPT_MS + 10)
+    _, actions = decide(state, LimitAdvertised('a', again), LIMIT_KEPT_MS + 10)
     assert actions == (LimitChanged('a', 3),)
--- a/tests/test_limited_admission.py
+++ b/tests/test_limited_admission.py
@@ -8,7 +8,7 @@
 from cartdale.fleet.driver import Fleet
 from cartdale.fleet.limit_gate import LimitSharers
 from cartdale.fleet.rate_limits import RateLimit
-from cartdale.fleet.types import EntryWritten, NamedLimit, RequestEnded
+from cartdale.fleet.types import EntryWritten, LimitAdvertised, RequestEnded
 from cartdale.relay.admission import Admission, NoRoom, Waiting
 from tests.test_fleet import make_entry
 
@@ -28,7 +28,7 @@
     for number, per_second in enumerate(limits):
         fleet.dispatch(EntryWritten(make_entry(f'u{number}', slots=1000)))
         named = RateLimit(per_second, now, now)
-        fleet.dispatch(NamedLimit(f'u{number}', named))
+        fleet.dispatch(LimitAdvertised(f'u{number}', named))
     return fleet
 
 
@@ -158,7 +158,7 @@
     placed, _ = await place_many(fleet, 50, patience=0)
     assert placed
     now = clock.now()
-    fleet.dispatch(NamedLimit('u0', RateLimit(lowered, now, now)))
+    fleet.dispatch(LimitAdvertised('u0', RateLimit(lowered, now, now)))
     sent = 0
     for _ in range(400):
         waits, _ = await place_many(fleet, 1, patience=0)
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -12,7 +12,7 @@
 from cartdale.fleet.driver import Fleet
 from cartdale.fleet.evacuation import Evacuation
 from cartdale.fleet.loads import Load
-from cartdale.fleet.types import EntriesListed, EvacuationsTold, FleetState
+from cartdale.fleet.types import EntriesListed, EvacuationsReceived, FleetState
 from cartdale.platform.documents import decode_table
 from cartdale.platform.settings import parse_platform_settings
 from cartdale.relay.request_needs import make_request_needs
@@ -92,7 +92,7 @@
 
 def test_evacuated_home_is_not_left() -> None:
     told = (Evacuation('a1', 4), Evacuation('a2', 5))
-    state, _ = decide(make_state(), EvacuationsTold(told), 0)
+    state, _ = decide(make_state(), EvacuationsReceived(told), 0)
     assert is_closed(state, RequestNeeds('s', domains=NORTH))
     assert not is_closed(state, RequestNeeds('s'))
 
--- a/tests/test_rests.py
+++ b/tests/test_rests.py
@@ -29,8 +29,8 @@
     BackoffRequested,
     EntryWritten,
     FleetState,
+    LeavingAnnounced,
     RequestEnded,
-    SaidLeaving,
 )
 from cartdale.platform.upstreams import PlatformUpstreams
 from cartdale.relay.admission import Admission, NoRoom, Waiting
@@ -237,7 +237,7 @@
     assert resting.find_unavailable_reason(needs) == 'resting'
     assert resting.choose(needs) is None
     for name in ('u0', 'u1'):
-        resting.dispatch(SaidLeaving(name))
+        resting.dispatch(LeavingAnnounced(name))
     assert resting.find_unavailable_reason(needs) == 'leaving'
     assert make_resting(clock).find_unavailable_reason(needs) == 'missing'
     tried = replace(needs, excluded=frozenset(('u0',)))
@@ -278,6 +278,6 @@
 
 def test_metrics_count_who_leaves_and_who_rests() -> None:
     fleet = make_resting(VirtualClock(), 900, 0)
-    fleet.dispatch(SaidLeaving('u1'))
+    fleet.dispatch(LeavingAnnounced('u1'))
     assert count_unavailable(fleet.state, 0) == (1, 1, 0)
     assert count_unavailable(fleet.state, 900) == (1, 0, 0)
--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -17,7 +17,7 @@
     EntryRemoved,
     EntryWritten,
     EvacuationsListed,
-    EvacuationsTold,
+    EvacuationsReceived,
     FleetState,
     Lifecycle,
     TimePassed,
@@ -263,17 +263,17 @@
 
 def test_evacuations_hold_until_they_are_known_to_be_over() -> None:
     state = make_fleet('a')
-    told = EvacuationsTold((Evacuation('west', 50),))
+    told = EvacuationsReceived((Evacuation('west', 50),))
     state, _ = decide(state, told, 10)
     restored = EvacuationsListed((), place(20, 1), restored=True)
     state, actions = decide(state, restored, 20)
     assert not actions
     # Written again, with a number that is smaller than before.
-    again = EvacuationsTold((Evacuation('west', place(21, 1)),))
+    again = EvacuationsReceived((Evacuation('west', place(21, 1)),))
     state, actions = decide(state, again, 30)
     assert not actions
     ended = Evacuation('west', place(22, 1), active=False)
-    state, _ = decide(state, EvacuationsTold((ended,)), 40)
+    state, _ = decide(state, EvacuationsReceived((ended,)), 40)
     assert not state.standings_by_domain['west'].active
     # A peer that has not heard of the new era tells what was before.
     assert decide(state, told, 50)[0] == state
@@ -281,7 +281,7 @@
 
 def test_an_evacuation_that_nobody_writes_again_ends() -> None:
     state, _ = decide(
-        make_fleet('a'), EvacuationsTold((Evacuation('west', 50),)), 10
+        make_fleet('a'), EvacuationsReceived((Evacuation('west', 50),)), 10
     )
     listed = EvacuationsListed((), place(30, 1))
     state, _ = decide(state, listed, 5000)
