--- a/src/cartdale/fleet/candidates.py
+++ b/src/cartdale/fleet/candidates.py
@@ -37,7 +37,7 @@
         upstream
         for upstream in _list_live(state, needs)
         if not is_evacuated(
-            state.standings_by_domain, upstream.entry.failure_domain
+            state.evacuation_status_by_domain, upstream.entry.failure_domain
         )
     ]
 
@@ -86,7 +86,7 @@
     """
     domain = upstream.entry.failure_domain
     return upstream.warm_at > now or reopened_within(
-        state.standings_by_domain, domain, spec.cold_start, now
+        state.evacuation_status_by_domain, domain, spec.cold_start, now
     )
 
 
--- a/src/cartdale/fleet/decide.py
+++ b/src/cartdale/fleet/decide.py
@@ -64,8 +64,8 @@
         case EvacuationsListed(restored=True):
             return _evacuate(state, message.evacuations, now)
         case EvacuationsListed(evacuations=listed, revision=revision):
-            standings = state.standings_by_domain
-            ended = end_unlisted(standings, listed, revision)
+            statuses = state.evacuation_status_by_domain
+            ended = end_unlisted(statuses, listed, revision)
             return _evacuate(state, (*listed, *ended), now)
         case TimePassed():
             return _expire(state, now)
@@ -206,16 +206,16 @@
     state: FleetState, told: tuple[Evacuation, ...], now: Millis
 ) -> Decision:
     """Take over what is newer than what is known of failure domains."""
-    before = state.standings_by_domain
+    before = state.evacuation_status_by_domain
     after = merge(before, told, now)
     if after == before:
         return state, ()
     actions: list[Action] = []
-    for domain, standing in after.items():
+    for domain, status in after.items():
         known = before.get(domain)
         was_active = known is not None and known.active
-        if standing.active == was_active:
+        if status.active == was_active:
             continue
-        change = BeganEvacuating if standing.active else EndedEvacuating
-        actions.append(change(domain, standing.evacuation.revision))
-    return replace(state, standings_by_domain=after), tuple(actions)
+        change = BeganEvacuating if status.active else EndedEvacuating
+        actions.append(change(domain, status.evacuation.revision))
+    return replace(state, evacuation_status_by_domain=after), tuple(actions)
--- a/src/cartdale/fleet/driver.py
+++ b/src/cartdale/fleet/driver.py
@@ -260,7 +260,7 @@
     def may_finish_move(self, entry: UpstreamEntry) -> bool:
         """Tell whether a stopped generation may go on at an upstream."""
         return may_finish_move(
-            self.state.standings_by_domain,
+            self.state.evacuation_status_by_domain,
             entry.failure_domain,
             self._clock.now(),
         )
@@ -268,16 +268,16 @@
     def list_evacuations(self) -> tuple[Evacuation, ...]:
         """Return what is known of evacuations, present and past."""
         return tuple(
-            standing.evacuation
-            for standing in self.state.standings_by_domain.values()
+            status.evacuation
+            for status in self.state.evacuation_status_by_domain.values()
         )
 
     def list_evacuated(self) -> tuple[str, ...]:
         """Return the failure domains where nothing new may go."""
         return tuple(
             domain
-            for domain, standing in self.state.standings_by_domain.items()
-            if standing.active
+            for domain, status in self.state.evacuation_status_by_domain.items()
+            if status.active
         )
 
     def _act(self, action: Action) -> None:
--- a/src/cartdale/fleet/evacuation.py
+++ b/src/cartdale/fleet/evacuation.py
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class DomainStanding:
+class EvacuationStatus:
     """Hold what is known of a failure domain's evacuation.
 
     :param changed_at: when this instance learnt whether it is active.
@@ -46,28 +46,28 @@
         return self.evacuation.active
 
 
-Standings = Mapping[str, DomainStanding]
+EvacuationStatuses = Mapping[str, EvacuationStatus]
 
 
 def merge(
-    standings: Standings, told: Iterable[Evacuation], now: Millis
-) -> dict[str, DomainStanding]:
+    statuses: EvacuationStatuses, told: Iterable[Evacuation], now: Millis
+) -> dict[str, EvacuationStatus]:
     """Return what is known after something was told, the later of each."""
-    merged = dict(standings)
+    merged = dict(statuses)
     for evacuation in told:
         known = merged.get(evacuation.failure_domain)
         if known and known.evacuation.revision >= evacuation.revision:
             continue
         unchanged = known and known.active == evacuation.active
         changed_at = known.changed_at if known and unchanged else now
-        merged[evacuation.failure_domain] = DomainStanding(
+        merged[evacuation.failure_domain] = EvacuationStatus(
             evacuation, changed_at
         )
     return merged
 
 
 def end_unlisted(
-    standings: Standings, listed: Iterable[Evacuation], revision: int
+    statuses: EvacuationStatuses, listed: Iterable[Evacuation], revision: int
 ) -> tuple[Evacuation, ...]:
     """Return that evacuations ended which a listing of the store lacks.
 
@@ -77,32 +77,32 @@
     present = {evacuation.failure_domain for evacuation in listed}
     return tuple(
         Evacuation(domain, revision, active=False)
-        for domain, known in standings.items()
+        for domain, known in statuses.items()
         if known.active and domain not in present
     )
 
 
-def is_evacuated(standings: Standings, failure_domain: str) -> bool:
+def is_evacuated(statuses: EvacuationStatuses, failure_domain: str) -> bool:
     """Tell whether nothing new may go to a failure domain."""
-    known = standings.get(failure_domain)
+    known = statuses.get(failure_domain)
     return known is not None and known.active
 
 
 def may_finish_move(
-    standings: Standings, failure_domain: str, now: Millis
+    statuses: EvacuationStatuses, failure_domain: str, now: Millis
 ) -> bool:
     """Tell whether a stopped generation may still go on in a domain."""
-    known = standings.get(failure_domain)
+    known = statuses.get(failure_domain)
     if known is None or not known.active:
         return True
     return now - known.changed_at <= FINISHES_MOVES
 
 
 def reopened_within(
-    standings: Standings, failure_domain: str, span: Millis, now: Millis
+    statuses: EvacuationStatuses, failure_domain: str, span: Millis, now: Millis
 ) -> bool:
     """Tell whether a failure domain's evacuation ended of late."""
-    known = standings.get(failure_domain)
+    known = statuses.get(failure_domain)
     if known is None or known.active:
         return False
     return now - known.changed_at < span
--- a/src/cartdale/fleet/types.py
+++ b/src/cartdale/fleet/types.py
@@ -5,7 +5,7 @@
 from math import inf
 
 from cartdale.clock import Millis
-from cartdale.fleet.evacuation import DomainStanding, Evacuation
+from cartdale.fleet.evacuation import Evacuation, EvacuationStatus
 from cartdale.fleet.rate_limits import UNLIMITED, RateLimit
 
 
@@ -137,12 +137,14 @@
 class FleetState:
     """Hold all upstreams by their ids, and what is evacuated.
 
-    :param standings_by_domain: of the failure domains that are evacuated or
-        were.
+    :param evacuation_status_by_domain: of the failure domains that are
+        evacuated or were.
     """
 
     upstreams_by_id: dict[str, Upstream] = field(default_factory=dict)
-    standings_by_domain: dict[str, DomainStanding] = field(default_factory=dict)
+    evacuation_status_by_domain: dict[str, EvacuationStatus] = field(
+        default_factory=dict
+    )
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -94,11 +94,11 @@
 
 @pytest.mark.parametrize('order', list(permutations((BEGUN, ENDED, AGAIN))))
 def test_older_view_never_undoes_a_newer_one(order) -> None:
-    standings = {}
+    statuses = {}
     for told in order:
-        standings = merge(standings, (told,), 0)
-    assert is_evacuated(standings, 'west')
-    assert standings['west'].evacuation == AGAIN
+        statuses = merge(statuses, (told,), 0)
+    assert is_evacuated(statuses, 'west')
+    assert statuses['west'].evacuation == AGAIN
 
 
 def test_views_that_meet_in_any_order_agree() -> None:
@@ -111,11 +111,11 @@
     for _ in range(50):
         told = changes.copy()
         generator.shuffle(told)
-        standings = {}
+        statuses = {}
         for change in told:
-            standings = merge(standings, (change,), 0)
+            statuses = merge(statuses, (change,), 0)
         views.append(
-            {name: known.evacuation for name, known in standings.items()}
+            {name: known.evacuation for name, known in statuses.items()}
         )
     assert all(view == views[0] for view in views)
 
--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -274,7 +274,7 @@
     assert not actions
     ended = Evacuation('west', place(22, 1), active=False)
     state, _ = decide(state, EvacuationsReceived((ended,)), 40)
-    assert not state.standings_by_domain['west'].active
+    assert not state.evacuation_status_by_domain['west'].active
     # A peer that has not heard of the new era tells what was before.
     assert decide(state, told, 50)[0] == state
 
@@ -285,7 +285,7 @@
     )
     listed = EvacuationsListed((), place(30, 1))
     state, _ = decide(state, listed, 5000)
-    assert not state.standings_by_domain['west'].active
+    assert not state.evacuation_status_by_domain['west'].active
 
 
 def test_who_left_is_not_back_by_a_listing_of_the_older_copy() -> None:
