--- a/src/cartdale/fleet/advisories.py
+++ b/src/cartdale/fleet/advisories.py
@@ -87,11 +87,11 @@
         if advisory.limit is None:
             return
         named = RateLimit(advisory.limit, asked_at, self._clock.now())
-        upstream, book = known.entry.upstream, self._fleet.limits.book
-        told = named.limited or known.rate_limit.limited or upstream in book
+        upstream, history = known.entry.upstream, self._fleet.limits.history
+        told = named.limited or known.rate_limit.limited or upstream in history
         # Nearly all answers name none where there was none.
         if told:
-            book.note(upstream, named, self._clock.now())
+            history.note(upstream, named, self._clock.now())
             self._fleet.dispatch(LimitAdvertised(upstream, named))
 
 
--- a/src/cartdale/fleet/driver.py
+++ b/src/cartdale/fleet/driver.py
@@ -25,7 +25,7 @@
 from cartdale.fleet.cold import ColdGate
 from cartdale.fleet.decide import decide
 from cartdale.fleet.evacuation import Evacuation, may_finish_move
-from cartdale.fleet.loads import Load, LoadBook
+from cartdale.fleet.loads import Load, LoadTable
 from cartdale.fleet.pace import Pace, Progress, learn, learn_answer
 from cartdale.fleet.reading import ReadingShares
 from cartdale.fleet.types import (
@@ -77,7 +77,7 @@
         self._failure_domain = failure_domain
         self._generator = random.Random(seed)
         self.state = FleetState()
-        self.loads = LoadBook()
+        self.loads = LoadTable()
         self.table = RoutingTable()
         self.on_leaving: Left | None = None
         self.on_restarted: Left | None = None
--- a/src/cartdale/fleet/limit_book.py
+++ b/src/cartdale/fleet/limit_history.py
@@ -27,7 +27,7 @@
         return now - newest <= _TOLD
 
 
-class LimitBook:
+class LimitHistory:
     """Hold what was named of late, to be told to peers.
 
     What peers told is left out: all would tell it to all for ever.
--- a/src/cartdale/fleet/loads.py
+++ b/src/cartdale/fleet/loads.py
@@ -131,7 +131,7 @@
     loads_by_upstream: dict[str, Load]
 
 
-class LoadBook:
+class LoadTable:
     """Hold the work of this instance, and what peers said of theirs."""
 
     def __init__(self) -> None:
--- a/src/cartdale/fleet/upstream_limits.py
+++ b/src/cartdale/fleet/upstream_limits.py
@@ -6,8 +6,8 @@
 from cartdale.clock import Clock, Millis
 from cartdale.fleet.choose import ChoiceContext, RequestNeeds
 from cartdale.fleet.demand import DemandMeter
-from cartdale.fleet.limit_book import LimitBook
 from cartdale.fleet.limit_gate import LimitGate
+from cartdale.fleet.limit_history import LimitHistory
 from cartdale.fleet.types import (
     Action,
     LimitChanged,
@@ -24,7 +24,7 @@
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self.gate = LimitGate()
-        self.book = LimitBook()
+        self.history = LimitHistory()
         self._demand = DemandMeter()
 
     def follow(self, action: Action, known: Upstream | None) -> None:
--- a/src/cartdale/news/writing.py
+++ b/src/cartdale/news/writing.py
@@ -140,7 +140,9 @@
         upstreams_by_id = self._fleet.state.upstreams_by_id
         return {
             name: write_limit(limit, upstreams_by_id[name].entry.born, now)
-            for name, limit in self._fleet.limits.book.list_recent(now).items()
+            for name, limit in self._fleet.limits.history.list_recent(
+                now
+            ).items()
             if name in upstreams_by_id
         }
 
@@ -175,7 +177,7 @@
             lost=self._store_lost(),
             crashes=self._fleet.quarantine.version,
             departures=self._fleet.departures_observed,
-            limits=self._fleet.limits.book.version,
+            limits=self._fleet.limits.history.version,
         )
 
     def _list_leaving(self) -> tuple[str, ...]:
--- a/src/cartdale/routing/forecast.py
+++ b/src/cartdale/routing/forecast.py
@@ -6,7 +6,7 @@
 
 from cartdale.clock import Millis
 from cartdale.model.types import LoadReport
-from cartdale.routing.lengths import HORIZONS, LengthBook, LengthProfile
+from cartdale.routing.lengths import HORIZONS, LengthProfile, LengthStatistics
 from cartdale.routing.types import EngineView, Placement, Work
 
 #: Reports older than this tell nothing about others any more.
@@ -96,7 +96,7 @@
 def forecast_engine(
     view: EngineView,
     placements: Iterable[Placement],
-    lengths: LengthBook,
+    lengths: LengthStatistics,
     now: Millis,
 ) -> Forecast:
     """Foresee an engine's memory.
@@ -116,7 +116,7 @@
 
 
 def _forecast_others(
-    view: EngineView, own: _Own, lengths: LengthBook, now: Millis
+    view: EngineView, own: _Own, lengths: LengthStatistics, now: Millis
 ) -> Forecast:
     report = view.report
     if report is None or now - view.received_at > STALE_MS:
@@ -138,7 +138,7 @@
     return int((now - placement.placed_at) / max(1, pace))
 
 
-def forecast_work(work: Work, lengths: LengthBook) -> Forecast:
+def forecast_work(work: Work, lengths: LengthStatistics) -> Forecast:
     """Foresee what a request would add."""
     return forecast_one(lengths.find(work.shape), work.prompt_tokens, 0)
 
@@ -160,7 +160,7 @@
     view: EngineView,
     report: LoadReport,
     own: _Own,
-    lengths: LengthBook,
+    lengths: LengthStatistics,
 ) -> Forecast:
     count = max(0, report.running + report.waiting - own.count)
     if not count:
@@ -178,7 +178,7 @@
 
 
 def _forecast_arrivals(
-    view: EngineView, typical: float, lengths: LengthBook, now: Millis
+    view: EngineView, typical: float, lengths: LengthStatistics, now: Millis
 ) -> Forecast:
     report = view.report
     if report is None:
--- a/src/cartdale/routing/lengths.py
+++ b/src/cartdale/routing/lengths.py
@@ -80,17 +80,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LengthBook:
+class LengthStatistics:
     """Hold a profile for every shape; a shape is ``service/detail``."""
 
     profiles_by_shape: dict[str, LengthProfile] = field(default_factory=dict)
 
-    def observe(self, shape: str, length: int) -> 'LengthBook':
+    def observe(self, shape: str, length: int) -> 'LengthStatistics':
         """Return the book after a generation ended."""
         after = dict(self.profiles_by_shape)
         for key in dict.fromkeys((shape, general_shape(shape))):
             after[key] = after.get(key, LengthProfile()).observe(length)
-        return LengthBook(after)
+        return LengthStatistics(after)
 
     def find(self, shape: str) -> LengthProfile:
         """Return the narrowest profile with enough observations."""
--- a/src/cartdale/routing/policy.py
+++ b/src/cartdale/routing/policy.py
@@ -13,7 +13,7 @@
     forecast_engine,
     forecast_work,
 )
-from cartdale.routing.lengths import LengthBook
+from cartdale.routing.lengths import LengthStatistics
 from cartdale.routing.types import (
     EngineView,
     Placement,
@@ -117,7 +117,7 @@
     candidates: list[EngineCandidate],
     work: Work,
     weights: Weights,
-    lengths: LengthBook,
+    lengths: LengthStatistics,
 ) -> str | None:
     """Return the best engine whose memory holds the work, if any."""
     added = forecast_work(work, lengths)
--- a/src/cartdale/routing/types.py
+++ b/src/cartdale/routing/types.py
@@ -6,7 +6,7 @@
 from cartdale.declarations.types import PolicyName, Weights
 from cartdale.model.types import LoadReport
 from cartdale.problems.types import Limited, NotRun
-from cartdale.routing.lengths import LengthBook
+from cartdale.routing.lengths import LengthStatistics
 
 
 @dataclass(frozen=True, slots=True)
@@ -105,7 +105,7 @@
     placements_by_work: dict[str, Placement] = field(default_factory=dict)
     waiting: tuple[Work, ...] = ()
     served_by_customer: dict[str, float] = field(default_factory=dict)
-    lengths: LengthBook = field(default_factory=LengthBook)
+    lengths: LengthStatistics = field(default_factory=LengthStatistics)
     drain_per_ms: float = 0
     drained_at: Millis = 0
     draws: int = 0
--- a/tests/test_domain_news.py
+++ b/tests/test_domain_news.py
@@ -8,7 +8,7 @@
 
 from cartdale.clock import SystemClock
 from cartdale.fleet.driver import Fleet
-from cartdale.fleet.loads import Assignment, Load, LoadBook
+from cartdale.fleet.loads import Assignment, Load, LoadTable
 from cartdale.news.datagrams import SocketDatagrams
 from cartdale.news.decide import (
     DOMAIN_PREFIX,
@@ -259,12 +259,12 @@
 
 
 def test_loads_of_a_domain_are_those_around_and_no_others() -> None:
-    book = LoadBook()
-    book.receive('east-1', {'u': Load(runs=2)}, 0)
-    book.receive('east-2', {'u': Load(runs=3)}, 0)
-    book.receive(f'{DOMAIN_PREFIX}west', {'u': Load(runs=7)}, 0)
-    assert book.shared_totals(('east-1', 'east-2'), 0) == {'u': Load(runs=5)}
-    assert book.totals(0) == {'u': Load(runs=12)}
+    table = LoadTable()
+    table.receive('east-1', {'u': Load(runs=2)}, 0)
+    table.receive('east-2', {'u': Load(runs=3)}, 0)
+    table.receive(f'{DOMAIN_PREFIX}west', {'u': Load(runs=7)}, 0)
+    assert table.shared_totals(('east-1', 'east-2'), 0) == {'u': Load(runs=5)}
+    assert table.totals(0) == {'u': Load(runs=12)}
 
 
 @dataclass
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -20,7 +20,7 @@
     PEER_LOAD_KEPT_MS,
     Assignment,
     Load,
-    LoadBook,
+    LoadTable,
 )
 from cartdale.fleet.types import (
     AddressTakenOver,
@@ -204,19 +204,19 @@
 
 
 def test_loads_of_peers_count_until_they_are_old() -> None:
-    book = LoadBook()
+    table = LoadTable()
     run = Assignment('a', prompt=100, expected=0)
     run.backup = 'b'
-    book.assign(run)
-    book.receive('peer', {'a': Load(runs=2, tokens=30)}, 1000)
-    totals = book.totals(1000)
+    table.assign(run)
+    table.receive('peer', {'a': Load(runs=2, tokens=30)}, 1000)
+    totals = table.totals(1000)
     assert totals['a'] == Load(3, 130, 0, 100, exempt=1, long=1)
     assert totals['b'] == Load(tokens=100)
-    assert book.at('a', 1000) == totals['a']
-    assert book.at('b', 1000) == totals['b']
-    assert book.totals(1001 + PEER_LOAD_KEPT_MS)['a'].runs == 1
-    book.release(run)
-    assert not book.own()
+    assert table.at('a', 1000) == totals['a']
+    assert table.at('b', 1000) == totals['b']
+    assert table.totals(1001 + PEER_LOAD_KEPT_MS)['a'].runs == 1
+    table.release(run)
+    assert not table.own()
 
 
 def test_move_asks_only_for_the_memory_held_now() -> None:
@@ -228,15 +228,15 @@
 
 
 def test_plain_requests_are_not_worth_telling() -> None:
-    book = LoadBook()
+    table = LoadTable()
     plain = Assignment('a', prompt=0, expected=0)
-    book.assign(plain)
-    assert book.version == 0
-    assert book.own()['a'].runs == 1
-    assert not book.own(shared=True)
-    book.assign(Assignment('a', prompt=10, expected=0))
-    assert book.version == 1
-    assert book.own(shared=True)['a'].runs == 1
+    table.assign(plain)
+    assert table.version == 0
+    assert table.own()['a'].runs == 1
+    assert not table.own(shared=True)
+    table.assign(Assignment('a', prompt=10, expected=0))
+    assert table.version == 1
+    assert table.own(shared=True)['a'].runs == 1
 
 
 def test_instances_with_the_same_news_choose_apart() -> None:
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -10,7 +10,7 @@
 from cartdale.problems.types import NotRunReason
 from cartdale.routing import policy as routing_policy
 from cartdale.routing.decide import _place, decide
-from cartdale.routing.lengths import LengthBook, LengthProfile
+from cartdale.routing.lengths import LengthProfile, LengthStatistics
 from cartdale.routing.policy import caution_of
 from cartdale.routing.types import (
     EngineView,
@@ -237,7 +237,7 @@
 
 
 def test_a_new_shape_falls_back_to_its_service() -> None:
-    book = LengthBook()
+    book = LengthStatistics()
     for _ in range(40):
         book = book.observe('s/5', 77)
     assert book.find('s/9').ordered[-1] == 77
