--- a/src/cartdale/daemon/shares.py
+++ b/src/cartdale/daemon/shares.py
@@ -6,7 +6,7 @@
 from cartdale.daemon.peers import Peers
 from cartdale.daemon.serve import BoundListener
 from cartdale.fleet.choose import CHOICES, CHOICES_BY_OLD_NEWS
-from cartdale.fleet.division import Sharers
+from cartdale.fleet.division import Participants
 from cartdale.fleet.driver import Fleet
 from cartdale.fleet.follow import Follower
 from cartdale.platform.settings import PlatformSettings
@@ -52,7 +52,7 @@
     def _look(self) -> None:
         limits = self._fleet.table.limits
         self._callers.limit(limits.header_bytes, limits.idle_timeout)
-        self._budget.sharers = max(
+        self._budget.participant_count = max(
             self._peers.news.count_alive(), self._peers.count_listed()
         )
         old_news = self._peers.news.tells_by_domains()
@@ -60,15 +60,15 @@
         # Before the first read nobody is known who shares, and what an
         # instance sent before it started again is forgotten for a second.
         if self._follower.synced.is_set():
-            self._fleet.cold_gate.divide_among(self._find_sharers())
+            self._fleet.cold_gate.divide_among(self._find_participants())
             self._fleet.limits.gate.divide_among(
-                self._peers.news.find_limit_sharers(), self._clock.now()
+                self._peers.news.find_limit_participants(), self._clock.now()
             )
 
-    def _find_sharers(self) -> Sharers:
+    def _find_participants(self) -> Participants:
         domain = self._settings.failure_domain
         domains = {domain, *self._settings.regions_by_domain}
-        return Sharers(
+        return Participants(
             self._settings.name,
             domain,
             tuple(sorted(domains)),
--- a/src/cartdale/fleet/cold.py
+++ b/src/cartdale/fleet/cold.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from cartdale.clock import SECOND_MS, Millis
-from cartdale.fleet.division import Sharers, divide
+from cartdale.fleet.division import Participants, divide
 from cartdale.fleet.reservations import Reservations
 
 #: Part of the bound that is divided. The rest is for instances whose lists of
@@ -38,15 +38,17 @@
         return int(rate * self.overage + self.slack)
 
 
-def find_quota(sharers: Sharers, upstream: str, most: int) -> int:
+def find_quota(participants: Participants, upstream: str, most: int) -> int:
     """Return how many requests a second an instance may send.
 
     :param most: requests a second that all of them may send together.
     """
     divided = int(DIVIDED_SHARE * most)
-    by_domain = divide(sharers.domains, upstream, divided)
-    of_domain = by_domain.get(sharers.domain, 0)
-    return divide(sharers.around, upstream, of_domain).get(sharers.own, 0)
+    by_domain = divide(participants.domains, upstream, divided)
+    of_domain = by_domain.get(participants.domain, 0)
+    return divide(participants.domain_peers, upstream, of_domain).get(
+        participants.own, 0
+    )
 
 
 class ColdGate:
@@ -57,17 +59,17 @@
 
     def __init__(self) -> None:
         self.bound = ColdBound()
-        self._sharers: Sharers | None = None
+        self._participants: Participants | None = None
         self._quotas: dict[tuple[str, int], int] = {}
         self._sent_by_upstream: dict[str, deque[Millis]] = {}
         self._kept_by_upstream: dict[str, Reservations] = {}
         #: Requests sent to cold upstreams since the start.
         self.sent = 0
 
-    def divide_among(self, sharers: Sharers) -> None:
+    def divide_among(self, participants: Participants) -> None:
         """Take the names of those among whom the bound is divided."""
-        if sharers != self._sharers:
-            self._sharers = sharers
+        if participants != self._participants:
+            self._participants = participants
             self._quotas.clear()
 
     def allows(self, upstream: str, rate: float, now: Millis) -> bool:
@@ -77,12 +79,12 @@
         """
         if not rate:
             return True
-        if self._sharers is None:
+        if self._participants is None:
             return False
         most = self.bound.count(rate)
         quota = self._quotas.get((upstream, most))
         if quota is None:
-            quota = find_quota(self._sharers, upstream, most)
+            quota = find_quota(self._participants, upstream, most)
             self._quotas[(upstream, most)] = quota
         taken = self._count_sent(upstream, now) + self._count_kept(
             upstream, now
--- a/src/cartdale/fleet/division.py
+++ b/src/cartdale/fleet/division.py
@@ -19,23 +19,23 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Sharers:
+class Participants:
     """Name those among whom a bound is divided.
 
     :param own: this instance's name.
     :param domain: this instance's failure domain.
     :param domains: all failure domains.
-    :param around: the instances of this one's domain, itself included.
+    :param domain_peers: the instances of this one's domain, itself included.
     """
 
     own: str
     domain: str
     domains: tuple[str, ...]
-    around: tuple[str, ...]
+    domain_peers: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Part:
+class Share:
     """Hold which of the permits of an upstream are an instance's.
 
     :param count: how many.
@@ -46,19 +46,23 @@
     first: int = 0
 
 
-def divide(sharers: Iterable[str], upstream: str, total: int) -> dict[str, int]:
+def divide(
+    participants: Iterable[str], upstream: str, total: int
+) -> dict[str, int]:
     """Return each sharer's part of a whole number; the parts add up to it.
 
     Who gets one more than others differs from upstream to upstream.
 
     :returns: the parts by sharer, in the order in which they get them.
     """
-    ranked = sorted(sharers, key=lambda name: _weigh(name, upstream))
+    ranked = sorted(participants, key=lambda name: _weigh(name, upstream))
     share, rest = divmod(total, max(len(ranked), 1))
     return {name: share + (place < rest) for place, name in enumerate(ranked)}
 
 
-def lend_idle(demands: Demands, upstream: str, total: int) -> dict[str, int]:
+def redistribute_idle(
+    demands: Demands, upstream: str, total: int
+) -> dict[str, int]:
     """Divide a whole number, and lend the idle parts to who can use them.
 
     Whoever was not heard of keeps its part, since it may use it behind a
@@ -106,7 +110,7 @@
     return True
 
 
-def find_part(own: str, parts: Mapping[str, int]) -> Part:
+def find_share(own: str, parts: Mapping[str, int]) -> Share:
     """Return one sharer's part of a division.
 
     :param parts: by sharer, in the order in which they get parts.
@@ -114,9 +118,9 @@
     first = 0
     for name, count in parts.items():
         if name == own:
-            return Part(count, first)
+            return Share(count, first)
         first += count
-    return Part()
+    return Share()
 
 
 def _weigh(name: str, upstream: str) -> tuple[int, str]:
--- a/src/cartdale/fleet/limit_gate.py
+++ b/src/cartdale/fleet/limit_gate.py
@@ -6,32 +6,32 @@
 from cartdale.clock import SECOND_MS, Millis
 from cartdale.fleet.division import (
     Demands,
-    Part,
-    find_part,
+    Share,
+    find_share,
     gave_idle_ones,
-    lend_idle,
+    redistribute_idle,
 )
 from cartdale.fleet.permits import Allotment, Permits, allot
 
 #: What somebody offers, in requests a second by service; a service that is
 #: missing is not told, and ``None`` stands for who was not heard of.
-Offers = Mapping[str, float] | None
+DemandByService = Mapping[str, float] | None
 
 
 @dataclass(frozen=True, slots=True)
-class LimitSharers:
+class LimitParticipants:
     """Name those among whom limits are divided.
 
     :param own: this instance's name.
     :param own_group: the group of instances that it belongs to.
     :param groups: what all of each group offer together.
-    :param around: what the instances of the own group offer.
+    :param domain_peers: what the instances of the own group offer.
     """
 
     own: str = ''
     own_group: str = ''
-    groups: Mapping[str, Offers] = field(default_factory=dict)
-    around: Mapping[str, Offers] = field(default_factory=dict)
+    groups: Mapping[str, DemandByService] = field(default_factory=dict)
+    domain_peers: Mapping[str, DemandByService] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,14 +40,14 @@
 
     :param part: of this instance.
     :param groups: permits by group of instances.
-    :param around: permits by instance of the own group.
+    :param domain_peers: permits by instance of the own group.
     :param group_demands: requests of each group in the span of a permit.
     :param demands: the same of the instances of the own group.
     """
 
-    part: Part
+    part: Share
     groups: Mapping[str, int]
-    around: Mapping[str, int]
+    domain_peers: Mapping[str, int]
     group_demands: Demands
     demands: Demands
 
@@ -55,7 +55,9 @@
         """Tell whether what was given since was not used by its holders."""
         return gave_idle_ones(
             before.groups, self.groups, self.group_demands
-        ) and gave_idle_ones(before.around, self.around, self.demands)
+        ) and gave_idle_ones(
+            before.domain_peers, self.domain_peers, self.demands
+        )
 
 
 @dataclass(frozen=True, slots=True)
@@ -74,17 +76,19 @@
     """
 
     def __init__(self) -> None:
-        self._sharers = LimitSharers()
+        self._participants = LimitParticipants()
         self._limited_by_upstream: dict[str, _Limited] = {}
         #: Requests that were held back as they were about to be sent.
         self.withheld = 0
 
-    def divide_among(self, sharers: LimitSharers, now: Millis) -> None:
+    def divide_among(
+        self, participants: LimitParticipants, now: Millis
+    ) -> None:
         """Take who shares the limits, and what they offer."""
-        before = self._sharers
-        if sharers == before:
+        before = self._participants
+        if participants == before:
             return
-        self._sharers = sharers
+        self._participants = participants
         for upstream, limited in tuple(self._limited_by_upstream.items()):
             permits = limited.permits
             division = self._divide(
@@ -146,10 +150,12 @@
             for limited in self._limited_by_upstream.values()
             if limited.service == service
         ]
-        sharers = len(self._sharers.groups) * len(self._sharers.around)
+        participants = len(self._participants.groups) * len(
+            self._participants.domain_peers
+        )
         rate = sum(permits.rate for permits in held)
         whole = sum(permits.allotment.rate for permits in held)
-        return rate or whole / max(sharers, 1)
+        return rate or whole / max(participants, 1)
 
     def spend(self, upstream: str, now: Millis, *, resumes: bool) -> bool:
         """Tell whether a request may be sent now, and count it.
@@ -177,19 +183,19 @@
         Among the groups of instances first, which hear of each other only what
         each group offers together.
         """
-        sharers, span = self._sharers, allotment.span
-        group_demands = _expect(sharers.groups, service, span)
-        groups = lend_idle(group_demands, upstream, allotment.permits)
-        own_group = find_part(sharers.own_group, groups)
-        demands = _expect(sharers.around, service, span)
-        around = lend_idle(demands, upstream, own_group.count)
-        own = find_part(sharers.own, around)
-        part = Part(own.count, own_group.first + own.first)
-        return _Division(part, groups, around, group_demands, demands)
+        participants, span = self._participants, allotment.span
+        group_demands = _expect(participants.groups, service, span)
+        groups = redistribute_idle(group_demands, upstream, allotment.permits)
+        own_group = find_share(participants.own_group, groups)
+        demands = _expect(participants.domain_peers, service, span)
+        domain_peers = redistribute_idle(demands, upstream, own_group.count)
+        own = find_share(participants.own, domain_peers)
+        part = Share(own.count, own_group.first + own.first)
+        return _Division(part, groups, domain_peers, group_demands, demands)
 
 
 def _expect(
-    offers: Mapping[str, Offers], service: str, span: Millis
+    offers: Mapping[str, DemandByService], service: str, span: Millis
 ) -> dict[str, float | None]:
     """Return how many requests each offers in a span."""
     expected: dict[str, float | None] = {}
--- a/src/cartdale/fleet/permits.py
+++ b/src/cartdale/fleet/permits.py
@@ -12,7 +12,7 @@
 from math import ceil
 
 from cartdale.clock import SECOND_MS, Millis
-from cartdale.fleet.division import Part
+from cartdale.fleet.division import Share
 from cartdale.fleet.reservations import Reservations
 
 #: An upstream's requests are counted over so long. No permit lets two pass in
@@ -67,7 +67,7 @@
     :param part: which of its permits are this instance's.
     """
 
-    def __init__(self, allotment: Allotment, part: Part, now: Millis) -> None:
+    def __init__(self, allotment: Allotment, part: Share, now: Millis) -> None:
         self.allotment = allotment
         #: When each can be used, the next one first.
         self._ready_at: list[Millis] = [
@@ -81,7 +81,7 @@
         """Return how many requests pass in a millisecond."""
         return len(self._ready_at) / max(self.allotment.span, 1)
 
-    def resize(self, part: Part, now: Millis, *, idle: bool) -> None:
+    def resize(self, part: Share, now: Millis, *, idle: bool) -> None:
         """Hold more or fewer permits.
 
         One that is new was another's, who may have used it just now.
@@ -132,7 +132,7 @@
         insort(self._ready_at, max(ready_at + span, earliest))
         return True
 
-    def _find_turn(self, part: Part, number: int) -> Millis:
+    def _find_turn(self, part: Share, number: int) -> Millis:
         """Return when in its span an own permit has its turn among all."""
         allotment = self.allotment
         return allotment.span * (part.first + number + 1) // allotment.permits
--- a/src/cartdale/fleet/upstream_limits.py
+++ b/src/cartdale/fleet/upstream_limits.py
@@ -46,7 +46,7 @@
         """Count a request that is to be placed."""
         self._demand.note(service, self._clock.now())
 
-    def measure_offers(self) -> dict[str, float]:
+    def measure_demand(self) -> dict[str, float]:
         """Return what callers here ask of services with limited upstreams.
 
         :returns: requests a second, by service.
--- a/src/cartdale/news/driver.py
+++ b/src/cartdale/news/driver.py
@@ -9,7 +9,7 @@
 from cartdale.clock import Clock, Millis, seconds
 from cartdale.codec import decode_binary
 from cartdale.fleet.driver import Fleet
-from cartdale.fleet.limit_gate import LimitSharers
+from cartdale.fleet.limit_gate import LimitParticipants
 from cartdale.fleet.loads import Load
 from cartdale.fleet.types import (
     EntryRemoved,
@@ -31,7 +31,7 @@
     list_audience,
     stretch,
 )
-from cartdale.news.limits import find_limit_sharers, read_limit
+from cartdale.news.limits import find_limit_participants, read_limit
 from cartdale.news.ports import Datagrams
 from cartdale.news.speaking import DomainSpeaker
 from cartdale.news.types import (
@@ -173,11 +173,11 @@
         """Return how many instances are alive, this one included."""
         return 1 + count_alive(self.state, self._clock.now())
 
-    def find_limit_sharers(self) -> LimitSharers:
+    def find_limit_participants(self) -> LimitParticipants:
         """Return who shares the rate limits of upstreams."""
-        offers = self._fleet.limits.measure_offers()
+        offers = self._fleet.limits.measure_demand()
         now = self._clock.now()
-        return find_limit_sharers(self.state, self._own, offers, now)
+        return find_limit_participants(self.state, self._own, offers, now)
 
     def list_audience(self) -> list[PeerEntry]:
         """Return the peers to which this instance tells its news."""
--- a/src/cartdale/news/limits.py
+++ b/src/cartdale/news/limits.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable, Mapping
 
 from cartdale.clock import Millis
-from cartdale.fleet.limit_gate import LimitSharers, Offers
+from cartdale.fleet.limit_gate import DemandByService, LimitParticipants
 from cartdale.fleet.rate_limits import RateLimit, merge_limits
 from cartdale.news.decide import ALIVE_MS
 from cartdale.news.duties import is_wide
@@ -61,9 +61,9 @@
     }
 
 
-def find_limit_sharers(
-    state: NewsState, own: PeerEntry, offers: Offers, now: Millis
-) -> LimitSharers:
+def find_limit_participants(
+    state: NewsState, own: PeerEntry, offers: DemandByService, now: Millis
+) -> LimitParticipants:
     """Return who shares the limits of upstreams, and what each offers.
 
     Whoever is listed shares, heard of or not.
@@ -71,30 +71,34 @@
     :param offers: of this instance.
     """
     if not is_wide(state):
-        around = _list_offers(state, state.peers_by_name, now)
-        around[own.name] = offers
-        return LimitSharers(own.name, _EVERYBODY, {_EVERYBODY: None}, around)
+        domain_peers = _list_offers(state, state.peers_by_name, now)
+        domain_peers[own.name] = offers
+        return LimitParticipants(
+            own.name, _EVERYBODY, {_EVERYBODY: None}, domain_peers
+        )
     domain = own.failure_domain
     names = [
         name
         for name, peer in state.peers_by_name.items()
         if peer.failure_domain == domain
     ]
-    around = _list_offers(state, names, now)
-    around[own.name] = offers
-    told = [each for each in around.values() if each is not None]
+    domain_peers = _list_offers(state, names, now)
+    domain_peers[own.name] = offers
+    told = [each for each in domain_peers.values() if each is not None]
     groups = {**_list_domain_offers(state, now), domain: add_offers(told)}
-    return LimitSharers(own.name, domain, groups, around)
+    return LimitParticipants(own.name, domain, groups, domain_peers)
 
 
 def _list_offers(
     state: NewsState, names: Iterable[str], now: Millis
-) -> dict[str, Offers]:
+) -> dict[str, DemandByService]:
     heard_by_name = state.heard_by_name
     return {name: _find_offers(heard_by_name.get(name), now) for name in names}
 
 
-def _list_domain_offers(state: NewsState, now: Millis) -> dict[str, Offers]:
+def _list_domain_offers(
+    state: NewsState, now: Millis
+) -> dict[str, DemandByService]:
     domains = {peer.failure_domain for peer in state.peers_by_name.values()}
     heard_by_domain = state.domains_by_name
     return {
@@ -103,7 +107,9 @@
     }
 
 
-def _find_offers(heard: Heard | HeardDomain | None, now: Millis) -> Offers:
+def _find_offers(
+    heard: Heard | HeardDomain | None, now: Millis
+) -> DemandByService:
     """Return what was told of late; ``None`` for nothing."""
     if heard is None or now - heard.at > ALIVE_MS:
         return None
--- a/src/cartdale/news/speaking.py
+++ b/src/cartdale/news/speaking.py
@@ -129,7 +129,7 @@
             self._count_reporters(now),
             store_lost=lost,
         )
-        own = self._fleet.limits.measure_offers()
+        own = self._fleet.limits.measure_demand()
         return replace(
             news, offers=add_offers((own, *(each.offers for each in alive)))
         )
--- a/src/cartdale/news/writing.py
+++ b/src/cartdale/news/writing.py
@@ -86,7 +86,7 @@
             births=self._list_births(leaving),
             departing=self._list_departing(leaving, observed_locally=True),
             limits=self.list_limits(),
-            offers=self._fleet.limits.measure_offers(),
+            offers=self._fleet.limits.measure_demand(),
         )
         return self._close(seal, _EVERYBODY, NEWS_KIND, encode_binary(news))
 
--- a/src/cartdale/retries/window.py
+++ b/src/cartdale/retries/window.py
@@ -65,7 +65,7 @@
         self._span = span
         self._windows_by_service: dict[str, RepeatWindow] = {}
         #: Instances that share the slack, this one included.
-        self.sharers = 1
+        self.participant_count = 1
 
     def count(self, service: str, now: Millis) -> None:
         """Count a first send to a service."""
@@ -74,7 +74,7 @@
     def withdraw(self, service: str, now: Millis) -> bool:
         """Pay for a repeat at a service, if the budget allows one."""
         return self._window(service).withdraw(
-            self._slack / max(self.sharers, 1), now
+            self._slack / max(self.participant_count, 1), now
         )
 
     def bound(self, ratio: float, slack: float, span: Millis) -> None:
--- a/tests/fault_soak/mutants.py
+++ b/tests/fault_soak/mutants.py
@@ -21,7 +21,7 @@
     limit_gate,
     statements,
 )
-from cartdale.fleet.division import Part  # noqa: E402
+from cartdale.fleet.division import Share  # noqa: E402
 from cartdale.fleet.follow import Follower  # noqa: E402
 from cartdale.platform import callers, translate  # noqa: E402
 from cartdale.platform.main import main  # noqa: E402
@@ -133,7 +133,7 @@
 
     def divide(self, upstream, service, allotment):
         divided = honest(self, upstream, service, allotment)
-        return replace(divided, part=Part(allotment.permits))
+        return replace(divided, part=Share(allotment.permits))
 
     limit_gate.LimitGate._divide = divide
 
--- a/tests/load/limited.py
+++ b/tests/load/limited.py
@@ -17,7 +17,11 @@
 
 from cartdale.fleet.demand import DemandMeter
 from cartdale.fleet.division import divide
-from cartdale.fleet.limit_gate import LimitGate, LimitSharers, Offers
+from cartdale.fleet.limit_gate import (
+    DemandByService,
+    LimitGate,
+    LimitParticipants,
+)
 
 UPSTREAM, SERVICE = 'i-limited', 's'
 TICK = 20
@@ -244,18 +248,22 @@
             gate = each.gate
             if isinstance(gate, Permitted) and not each.frozen:
                 lends = gate.lends
-                gate.gate.divide_among(self._find_sharers(each, lends), now)
-
-    def _find_sharers(self, own: Instance, lends: bool) -> LimitSharers:
-        offers: dict[str, Offers] = {
+                gate.gate.divide_among(
+                    self._find_participants(each, lends), now
+                )
+
+    def _find_participants(
+        self, own: Instance, lends: bool
+    ) -> LimitParticipants:
+        offers: dict[str, DemandByService] = {
             each.name: each.told
             if lends and each.side == own.side and not each.frozen
             else None
             for each in self.instances
         }
         if len(self.instances) <= MOST_FLAT:
-            return LimitSharers(own.name, '', {'': None}, offers)
-        groups: dict[str, Offers] = {}
+            return LimitParticipants(own.name, '', {'': None}, offers)
+        groups: dict[str, DemandByService] = {}
         for domain in DOMAINS:
             told = [
                 offers[each.name]
@@ -270,7 +278,7 @@
             for each in self.instances
             if each.domain == own.domain
         }
-        return LimitSharers(own.name, own.domain, groups, around)
+        return LimitParticipants(own.name, own.domain, groups, around)
 
 
 def spread_evenly(size: int, each: float) -> list[float]:
--- a/tests/load/test_cold_upstreams.py
+++ b/tests/load/test_cold_upstreams.py
@@ -17,7 +17,7 @@
 from cartdale.fleet.advisories import AdvisoryRecorder
 from cartdale.fleet.choose import RequestNeeds
 from cartdale.fleet.cold import ColdBound, ColdGate, find_quota
-from cartdale.fleet.division import Sharers
+from cartdale.fleet.division import Participants
 from cartdale.fleet.driver import Fleet
 from cartdale.fleet.evacuation import Evacuation
 from cartdale.fleet.types import (
@@ -50,7 +50,9 @@
     def list_others(self, names: tuple[str, ...]) -> None:
         around = tuple(sorted({*names, self.name}))
         self.gate.bound = BOUND
-        self.gate.divide_among(Sharers(self.name, self.domain, DOMAINS, around))
+        self.gate.divide_among(
+            Participants(self.name, self.domain, DOMAINS, around)
+        )
 
     def try_send(self, now: int) -> bool:
         if now < self.ready_at or not self.gate.allows(UPSTREAM, RATE, now):
@@ -152,7 +154,9 @@
     instances = make_instances(62)
     quotas = {
         each.name: find_quota(
-            Sharers(each.name, each.domain, DOMAINS, _around(instances, each)),
+            Participants(
+                each.name, each.domain, DOMAINS, _around(instances, each)
+            ),
             UPSTREAM,
             MOST,
         )
@@ -173,7 +177,7 @@
     spec = ServiceSpec('s', '/', 100, ENGINE, cold_start=1000, cold_rate=RATE)
     fleet.table = RoutingTable(version=1, services_by_name={'s': spec})
     fleet.cold_gate.bound = BOUND
-    fleet.cold_gate.divide_among(Sharers('front-1', 'west', ('west',), ()))
+    fleet.cold_gate.divide_among(Participants('front-1', 'west', ('west',), ()))
     fleet.dispatch(EntriesListed(entries))
     return fleet
 
@@ -190,8 +194,8 @@
 
 
 def share_alone(fleet: Fleet) -> None:
-    sharers = Sharers('front-1', 'west', ('west',), ('front-1',))
-    fleet.cold_gate.divide_among(sharers)
+    participants = Participants('front-1', 'west', ('west',), ('front-1',))
+    fleet.cold_gate.divide_among(participants)
 
 
 def test_choices_spare_a_cold_upstream_and_use_the_warm_one() -> None:
--- a/tests/load/test_limited_upstreams.py
+++ b/tests/load/test_limited_upstreams.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from cartdale.fleet.division import lend_idle
+from cartdale.fleet.division import redistribute_idle
 from cartdale.fleet.limit_gate import LimitGate
 from cartdale.fleet.permits import allot
 from tests.load.limited import (
@@ -74,11 +74,11 @@
 
 
 def test_who_is_not_heard_of_keeps_its_part() -> None:
-    parts = lend_idle({'a': 8, 'b': 0, 'c': None, 'd': 8}, UPSTREAM, 8)
+    parts = redistribute_idle({'a': 8, 'b': 0, 'c': None, 'd': 8}, UPSTREAM, 8)
     assert parts['c'] == 2
     assert parts['b'] == 0
     assert sum(parts.values()) == 8
-    unused = lend_idle({'a': 0, 'b': 0}, UPSTREAM, 7)
+    unused = redistribute_idle({'a': 0, 'b': 0}, UPSTREAM, 7)
     assert sorted(unused.values()) == [3, 4]
 
 
--- a/tests/test_limit_news.py
+++ b/tests/test_limit_news.py
@@ -23,7 +23,7 @@
 from cartdale.news.decide import decide as decide_news
 from cartdale.news.limits import (
     add_offers,
-    find_limit_sharers,
+    find_limit_participants,
     merge_limit_news,
     read_limit,
     write_limit,
@@ -153,13 +153,13 @@
 def test_sharers_of_a_small_system_are_all_that_are_listed() -> None:
     few = PEERS[:3]
     state = make_state(few, offers={'s': 2.0})
-    sharers = find_limit_sharers(state, OWN, {'s': 1.0}, 0)
-    assert sharers.around == {
+    participants = find_limit_participants(state, OWN, {'s': 1.0}, 0)
+    assert participants.domain_peers == {
         OWN.name: {'s': 1.0},
         **{peer.name: {'s': 2.0} for peer in few[1:]},
     }
-    silent = find_limit_sharers(state, OWN, {'s': 1.0}, ALIVE_MS + 1)
-    assert silent.around == {
+    silent = find_limit_participants(state, OWN, {'s': 1.0}, ALIVE_MS + 1)
+    assert silent.domain_peers == {
         **dict.fromkeys((peer.name for peer in few)),
         OWN.name: {'s': 1.0},
     }
@@ -167,13 +167,17 @@
 
 def test_sharers_of_a_large_system_are_domains_first() -> None:
     state = make_state(offers={'s': 2.0})
-    sharers = find_limit_sharers(state, OWN, {'s': 1.0}, 0)
-    assert sharers.own_group == 'east'
-    assert len(sharers.around) == 8
-    assert sharers.groups == {'east': {'s': 15}, 'north': None, 'west': None}
+    participants = find_limit_participants(state, OWN, {'s': 1.0}, 0)
+    assert participants.own_group == 'east'
+    assert len(participants.domain_peers) == 8
+    assert participants.groups == {
+        'east': {'s': 15},
+        'north': None,
+        'west': None,
+    }
     state = hear_domains(state, OWN, offers={'s': 8.0})
-    sharers = find_limit_sharers(state, OWN, {'s': 1.0}, 0)
-    assert sharers.groups['west'] == {'s': 8}
+    participants = find_limit_participants(state, OWN, {'s': 1.0}, 0)
+    assert participants.groups['west'] == {'s': 8}
 
 
 @pytest.mark.parametrize('store_is_away', [False, True])
--- a/tests/test_limited_admission.py
+++ b/tests/test_limited_admission.py
@@ -6,7 +6,7 @@
 from cartdale.clock import Millis, SystemClock
 from cartdale.fleet.choose import RequestNeeds
 from cartdale.fleet.driver import Fleet
-from cartdale.fleet.limit_gate import LimitSharers
+from cartdale.fleet.limit_gate import LimitParticipants
 from cartdale.fleet.rate_limits import RateLimit
 from cartdale.fleet.types import EntryWritten, LimitAdvertised, RequestEnded
 from cartdale.relay.admission import Admission, NoRoom, Waiting
@@ -14,17 +14,17 @@
 
 NEED = RequestNeeds('s')
 #: The only instance, and one of two that hear nothing of each other.
-ALONE = LimitSharers('i', '', {'': None}, {'i': None})
+ALONE = LimitParticipants('i', '', {'': None}, {'i': None})
 SIZE = 300
 
 
 def make_limited(
-    clock: SystemClock, *limits: float, sharers: LimitSharers = ALONE
+    clock: SystemClock, *limits: float, participants: LimitParticipants = ALONE
 ) -> Fleet:
     """Return a fleet whose upstreams name these limits, infinite for none."""
     fleet = Fleet(clock, 'west', 1)
     now = clock.now()
-    fleet.limits.gate.divide_among(sharers, now)
+    fleet.limits.gate.divide_among(participants, now)
     for number, per_second in enumerate(limits):
         fleet.dispatch(EntryWritten(make_entry(f'u{number}', slots=1000)))
         named = RateLimit(per_second, now, now)
@@ -93,9 +93,13 @@
 ) -> None:
     names = [f'i{number}' for number in range(SIZE)]
     around = dict.fromkeys(names)
-    sharers = [LimitSharers(name, '', {'': None}, around) for name in names]
+    participants = [
+        LimitParticipants(name, '', {'': None}, around) for name in names
+    ]
     clock = SystemClock()
-    fleets = [make_limited(clock, 1.6, sharers=each) for each in sharers]
+    fleets = [
+        make_limited(clock, 1.6, participants=each) for each in participants
+    ]
     without = [each for each in fleets if not each.limits.gate.count_rate()]
     assert len(without) > SIZE - 10
     began = trio.current_time()
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -161,6 +161,6 @@
 
 def test_instances_share_the_slack() -> None:
     budget = RepeatBudget(ratio=0.2, slack=40, span=1000)
-    budget.sharers = 8
+    budget.participant_count = 8
     assert sum(budget.withdraw('s', 0) for _ in range(20)) == 4
     assert budget.withdraw('other', 0)
