--- a/src/cartdale/daemon/briefing.py
+++ b/src/cartdale/daemon/briefing.py
@@ -3,7 +3,7 @@
 from cartdale.briefing.types import Briefing
 from cartdale.daemon.peers import Peers
 from cartdale.fleet.driver import Fleet
-from cartdale.fleet.follow import Follower
+from cartdale.fleet.store_follower import StoreFollower
 from cartdale.fleet.types import (
     EntryRemoved,
     EntryWritten,
@@ -20,7 +20,9 @@
     :param follower: follows the store, whose word goes before a briefing.
     """
 
-    def __init__(self, peers: Peers, fleet: Fleet, follower: Follower) -> None:
+    def __init__(
+        self, peers: Peers, fleet: Fleet, follower: StoreFollower
+    ) -> None:
         self._peers = peers
         self._fleet = fleet
         self._follower = follower
--- a/src/cartdale/daemon/gateway.py
+++ b/src/cartdale/daemon/gateway.py
@@ -21,7 +21,7 @@
 from cartdale.exceptions import BadInputError
 from cartdale.fleet.candidates import count_cold, count_unavailable
 from cartdale.fleet.driver import Fleet
-from cartdale.fleet.follow import Follower
+from cartdale.fleet.store_follower import StoreFollower
 from cartdale.formatting import list_plain_fields
 from cartdale.gateway.app import GatewayApp
 from cartdale.gateway.metrics import (
@@ -99,7 +99,7 @@
             self.fleet,
             self._clock,
         )
-        self.follower = Follower(
+        self.follower = StoreFollower(
             store,
             self.fleet,
             self._clock,
--- a/src/cartdale/daemon/peers.py
+++ b/src/cartdale/daemon/peers.py
@@ -15,8 +15,8 @@
 from cartdale.codec import decode_json
 from cartdale.daemon.peer_links import PeerLinks
 from cartdale.fleet.driver import Fleet
-from cartdale.fleet.follow import Follower
-from cartdale.fleet.stored import OwnKey, TableWritten
+from cartdale.fleet.store_changes import OwnKey, TableWritten
+from cartdale.fleet.store_follower import StoreFollower
 from cartdale.fleet.types import UpstreamEntry
 from cartdale.formatting import list_plain_fields
 from cartdale.news.decide import list_holders
@@ -86,12 +86,12 @@
         self._fleet = fleet
         self._nursery: trio.Nursery | None = None
         self._fetching = False
-        self._follower: Follower | None = None
+        self._follower: StoreFollower | None = None
         #: Encodes the configuration in force for other instances.
         self.encoder = DocumentEncoder()
         self._tried_to_register = trio.Event()
 
-    async def run(self, follower: Follower, stopping: trio.Event) -> None:
+    async def run(self, follower: StoreFollower, stopping: trio.Event) -> None:
         """Join the others and keep in touch, for ever.
 
         :param follower: follows the store, which lists the others.
@@ -184,7 +184,7 @@
         """Return how many instances the store lists."""
         return len(self.news.state.peers_by_name)
 
-    async def _follow(self, follower: Follower) -> None:
+    async def _follow(self, follower: StoreFollower) -> None:
         """Follow the store, once this instance is listed there.
 
         Of two that start together at least one then reads of the other, and
--- a/src/cartdale/daemon/shares.py
+++ b/src/cartdale/daemon/shares.py
@@ -8,7 +8,7 @@
 from cartdale.fleet.choose import CHOICES, CHOICES_BY_OLD_NEWS
 from cartdale.fleet.division import Participants
 from cartdale.fleet.driver import Fleet
-from cartdale.fleet.follow import Follower
+from cartdale.fleet.store_follower import StoreFollower
 from cartdale.platform.settings import PlatformSettings
 from cartdale.retries.window import RepeatBudget
 
@@ -26,7 +26,7 @@
         self,
         settings: PlatformSettings,
         fleet: Fleet,
-        follower: Follower,
+        follower: StoreFollower,
         peers: Peers,
         budget: RepeatBudget,
         callers: BoundListener,
--- a/src/cartdale/fleet/follow.py
+++ b/src/cartdale/fleet/store_follower.py
@@ -19,7 +19,7 @@
 from cartdale.clock import MINUTE_MS, SECOND_MS, Clock, Millis, seconds
 from cartdale.fleet.driver import Fleet
 from cartdale.fleet.evacuation import Evacuation
-from cartdale.fleet.stored import (
+from cartdale.fleet.store_changes import (
     EvacuationWritten,
     OwnKey,
     StoredChange,
@@ -77,7 +77,7 @@
 _TOLD_PAUSE_SECONDS = 3
 
 
-class Follower:
+class StoreFollower:
     """Follow the store.
 
     :param translate: reads what is stored.
--- a/src/cartdale/platform/translate.py
+++ b/src/cartdale/platform/translate.py
@@ -2,7 +2,7 @@
 
 from cartdale.clock import Millis
 from cartdale.fleet.evacuation import Evacuation
-from cartdale.fleet.stored import (
+from cartdale.fleet.store_changes import (
     EvacuationWritten,
     OwnKey,
     StoredChange,
--- a/tests/fault_soak/mutants.py
+++ b/tests/fault_soak/mutants.py
@@ -22,7 +22,7 @@
     statements,
 )
 from cartdale.fleet.division import Share  # noqa: E402
-from cartdale.fleet.follow import Follower  # noqa: E402
+from cartdale.fleet.store_follower import StoreFollower  # noqa: E402
 from cartdale.platform import callers, translate  # noqa: E402
 from cartdale.platform.main import main  # noqa: E402
 from cartdale.quarantine.driver import Quarantine  # noqa: E402
@@ -46,7 +46,7 @@
 
 def go_back() -> None:
     """Put every second configuration out of force again."""
-    honest = Follower.adopt
+    honest = StoreFollower.adopt
 
     def adopt(self, written):
         before = self._fleet.table
@@ -54,7 +54,7 @@
         if written.table.version % 2 == 0 and before.version:
             self._fleet.table = replace(before, version=written.table.version)
 
-    Follower.adopt = adopt
+    StoreFollower.adopt = adopt
 
 
 def ignore_drain() -> None:
@@ -140,7 +140,7 @@
 
 def adopt_older() -> None:
     """Put whatever configuration the store lists in force."""
-    honest = Follower.adopt
+    honest = StoreFollower.adopt
 
     def adopt(self, written):
         before = self._fleet.table
@@ -148,7 +148,7 @@
             self._fleet.table = replace(before, version=0)
         honest(self, written)
 
-    Follower.adopt = adopt
+    StoreFollower.adopt = adopt
 
 
 def look_away(*_: object, **named: object) -> None:
--- a/tests/load/fleet.py
+++ b/tests/load/fleet.py
@@ -18,7 +18,7 @@
 from cartdale.daemon.peer_links import PEER_TIMEOUT, Serve
 from cartdale.daemon.peers import Peers
 from cartdale.fleet.driver import Fleet
-from cartdale.fleet.follow import Follower
+from cartdale.fleet.store_follower import StoreFollower
 from cartdale.news.types import PeerEntry
 from cartdale.peers.client import PeerNotReached, PeerUncertain
 from cartdale.peers.documents import ENCODINGS, Document, FetchDocument
@@ -186,7 +186,7 @@
 
     fleet: Fleet
     peers: Peers
-    follower: Follower
+    follower: StoreFollower
     store: CountingStore
     scope: trio.CancelScope = field(default_factory=trio.CancelScope)
 
@@ -254,7 +254,7 @@
         fleet = Fleet(self.clock, domain, number)
         links = MemoryLinks(own, self.network)
         peers = Peers(links, store, fleet, self.clock)
-        follower = Follower(
+        follower = StoreFollower(
             store,
             fleet,
             self.clock,
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -20,8 +20,8 @@
     is_evacuated,
     merge,
 )
-from cartdale.fleet.follow import Follower
 from cartdale.fleet.loads import Load
+from cartdale.fleet.store_follower import StoreFollower
 from cartdale.fleet.types import (
     BeganEvacuating,
     EndedEvacuating,
@@ -233,7 +233,7 @@
         [listing], changes=[(began + 1, Entry(key, b'{}', 5, 5))]
     )
     fleet = Fleet(SystemClock(), 'west', 1)
-    follower = Follower(
+    follower = StoreFollower(
         store, fleet, SystemClock(), translate, print, lambda: True, bool
     )
     async with trio.open_nursery() as nursery:
--- a/tests/test_follow.py
+++ b/tests/test_follow.py
@@ -8,7 +8,7 @@
 from cartdale.clock import SystemClock
 from cartdale.codec import encode_json
 from cartdale.fleet.driver import Fleet
-from cartdale.fleet.follow import Follower
+from cartdale.fleet.store_follower import StoreFollower
 from cartdale.fleet.types import Lifecycle
 from cartdale.platform.translate import translate
 from cartdale.store.types import (
@@ -59,10 +59,10 @@
             await trio.sleep(0.001)
 
 
-def make_follower(store: ScriptedStore, watches, hears_nobody) -> Follower:
+def make_follower(store: ScriptedStore, watches, hears_nobody) -> StoreFollower:
     clock = SystemClock()
     fleet = Fleet(clock, 'west', 1)
-    return Follower(
+    return StoreFollower(
         store, fleet, clock, translate, print, watches, hears_nobody
     )
 
@@ -74,7 +74,7 @@
     store = ScriptedStore([listed, away, missing])
     clock = SystemClock()
     fleet = Fleet(clock, 'west', 1)
-    follower = Follower(store, fleet, clock, translate, print, bool, bool)
+    follower = StoreFollower(store, fleet, clock, translate, print, bool, bool)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(follower.run)
         while len(store.asked) < 3:
--- a/tests/test_platform_wire.py
+++ b/tests/test_platform_wire.py
@@ -5,7 +5,7 @@
 import pytest
 
 from cartdale.exceptions import BadInputError
-from cartdale.fleet.stored import OwnKey, TableWritten, Unreadable
+from cartdale.fleet.store_changes import OwnKey, TableWritten, Unreadable
 from cartdale.fleet.types import EntryRemoved, EntryWritten, Lifecycle
 from cartdale.platform.callers import read_request, write_refusal
 from cartdale.platform.documents import (
--- a/tests/test_upstream_lives.py
+++ b/tests/test_upstream_lives.py
@@ -9,7 +9,7 @@
 from cartdale.fleet.decide import decide
 from cartdale.fleet.departures import PEER_REPORT_IGNORED_MS
 from cartdale.fleet.driver import Fleet
-from cartdale.fleet.stored import Unreadable
+from cartdale.fleet.store_changes import Unreadable
 from cartdale.fleet.types import (
     BeganLeaving,
     EntriesListed,
