--- a/src/cartdale/daemon/shares.py
+++ b/src/cartdale/daemon/shares.py
@@ -5,7 +5,7 @@
 from cartdale.clock import SECOND_MS, Clock, Millis, seconds
 from cartdale.daemon.peers import Peers
 from cartdale.daemon.serve import BoundListener
-from cartdale.fleet.choose import CHOICES, CHOICES_BY_OLD_NEWS
+from cartdale.fleet.choose import CHOICES, CHOICES_WITH_STALE_LOADS
 from cartdale.fleet.division import Participants
 from cartdale.fleet.driver import Fleet
 from cartdale.fleet.store_follower import StoreFollower
@@ -56,7 +56,7 @@
             self._peers.news.count_alive(), self._peers.count_listed()
         )
         old_news = self._peers.news.tells_by_domains()
-        self._fleet.choices = CHOICES_BY_OLD_NEWS if old_news else CHOICES
+        self._fleet.choices = CHOICES_WITH_STALE_LOADS if old_news else CHOICES
         # Before the first read nobody is known who shares, and what an
         # instance sent before it started again is forgotten for a second.
         if self._follower.synced.is_set():
--- a/src/cartdale/fleet/choose.py
+++ b/src/cartdale/fleet/choose.py
@@ -22,7 +22,7 @@
 #: are at different ages, so their peaks don't fall together.
 GROWTH_RESERVED = 0.6
 #: Part of an engine's memory that placement fills at most.
-MEMORY_FILLED = 0.95
+MAX_FILLED_SHARE = 0.95
 #: Part of its target latency in which a request's prompt must be read, after
 #: those that wait before it: the rest is for the way, and for the estimate.
 READING_SHARE = 0.6
@@ -52,7 +52,7 @@
 #: (tests/load/test_herd.py) 4.9% of the prompts waited for more than 0.9 s with
 #: seven choices, 1.7% with three, 1.8% with two (Mitzenmacher, How Useful Is
 #: Old Information?, 2000).
-CHOICES_BY_OLD_NEWS = 3
+CHOICES_WITH_STALE_LOADS = 3
 
 
 @dataclass(frozen=True, slots=True)
@@ -70,7 +70,7 @@
     :param far_cost: what another failure domain counts, in capacity.
     :param filled: part of an engine's memory that may be filled.
     :param reserved: part of the expected growth that must fit as well.
-    :param among_all: look at all upstreams instead of a few.
+    :param compare_all: look at all upstreams instead of a few.
     :param sends: whether a request follows that is sent there.
     """
 
@@ -82,9 +82,9 @@
     excluded: frozenset[str] = frozenset()
     domains: frozenset[str] | None = None
     far_cost: float = _FAR_COST
-    filled: float = MEMORY_FILLED
+    filled: float = MAX_FILLED_SHARE
     reserved: float = GROWTH_RESERVED
-    among_all: bool = False
+    compare_all: bool = False
     sends: bool = True
 
 
@@ -127,7 +127,7 @@
     if context.switches.has(Mechanism.AVOIDANCE):
         listed = _prefer_answering(listed, context.now)
     considered = len(listed)
-    if context.switches.has(Mechanism.FEW_CHOICES) and not needs.among_all:
+    if context.switches.has(Mechanism.FEW_CHOICES) and not needs.compare_all:
         considered = min(considered, context.choices)
     few = generator.sample(listed, considered)
     best = _choose_best(few, needs, context, generator)
@@ -168,7 +168,7 @@
         return False
     if engine is None:
         return True
-    if not load.runs and needs.filled >= MEMORY_FILLED:
+    if not load.runs and needs.filled >= MAX_FILLED_SHARE:
         return True
     if reads_after(load, needs, context.pace):
         return False
--- a/src/cartdale/relay/targets.py
+++ b/src/cartdale/relay/targets.py
@@ -53,7 +53,7 @@
         far_cost=_FAR_MOVE_COST,
         filled=1,
         reserved=0,
-        among_all=True,
+        compare_all=True,
     )
     chosen = fleet.choose(needs, source.failure_domain)
     return chosen.entry if chosen else None
--- a/tests/load/test_herd.py
+++ b/tests/load/test_herd.py
@@ -5,7 +5,7 @@
 to two seconds.
 """
 
-from cartdale.fleet.choose import CHOICES, CHOICES_BY_OLD_NEWS
+from cartdale.fleet.choose import CHOICES, CHOICES_WITH_STALE_LOADS
 from tests.load.herd import Herd
 
 SEEDS = range(3)
@@ -23,7 +23,7 @@
 
 
 def test_fewer_choices_scatter_the_herd() -> None:
-    few, many = measure(CHOICES_BY_OLD_NEWS), measure(CHOICES)
+    few, many = measure(CHOICES_WITH_STALE_LOADS), measure(CHOICES)
     assert few < many / 2
     assert few < 0.03
 
