--- a/src/cartdale/platform/exchanges.py
+++ b/src/cartdale/platform/exchanges.py
@@ -31,12 +31,12 @@
     Copied,
     CopyFailed,
     CopyFault,
+    ExecutionStatus,
     Headers,
     LinkBroke,
     LinkBrokeError,
     OpenedAnswer,
     SendFailure,
-    Standing,
     UpstreamCall,
 )
 from cartdale.retries.backoffs import parse_retry_after
@@ -123,10 +123,10 @@
     :param advisory: what the upstream says of itself beside it.
     """
     named = {name.lower(): value for name, value in response.headers}
-    standing = _judge(response.status, named)
+    execution = _judge(response.status, named)
     answered = named.get(HEADER_REQUEST_ID.encode(), b'').decode('latin-1')
     request_id = call.routed.request.request_id
-    if standing is Standing.RAN:
+    if execution is ExecutionStatus.RAN:
         if answered != request_id:
             return Failure(LinkBroke(f'answer to {answered!r}'))
         sealed = HEADER_SEAL.encode() in named
@@ -136,7 +136,7 @@
         OpenedAnswer(
             status=response.status,
             headers=_pass_headers(response.headers),
-            standing=standing,
+            execution=execution,
             chunks=_read_chunks(response),
             framed=not _FRAMES.isdisjoint(named),
             backoff=advisory.backoff,
@@ -209,12 +209,12 @@
     )
 
 
-def _judge(status: int, named: dict[bytes, bytes]) -> Standing:
+def _judge(status: int, named: dict[bytes, bytes]) -> ExecutionStatus:
     if status == HTTPStatus.MISDIRECTED_REQUEST:
-        return Standing.REPLACED
+        return ExecutionStatus.REPLACED
     if HEADER_NOT_RUN.encode() in named:
-        return Standing.NOT_RUN
-    return Standing.RAN
+        return ExecutionStatus.NOT_RUN
+    return ExecutionStatus.RAN
 
 
 def _pass_headers(headers: list[tuple[bytes, bytes]]) -> Headers:
--- a/src/cartdale/relay/attempts.py
+++ b/src/cartdale/relay/attempts.py
@@ -33,9 +33,9 @@
 from cartdale.relay.ports import RelayPorts
 from cartdale.relay.request_needs import make_request_needs
 from cartdale.relay.types import (
+    ExecutionStatus,
     OpenedAnswer,
     RoutedRequest,
-    Standing,
     UpstreamCall,
 )
 from cartdale.routes.types import RouteKind
@@ -188,10 +188,10 @@
 
     Another upstream at its address is told to the fleet.
     """
-    match answer.standing:
-        case Standing.RAN:
+    match answer.execution:
+        case ExecutionStatus.RAN:
             return None
-        case Standing.REPLACED:
+        case ExecutionStatus.REPLACED:
             fleet.dispatch(AddressTakenOver(upstream))
     return Declined(rests=answer.backoff > 0)
 
--- a/src/cartdale/relay/types.py
+++ b/src/cartdale/relay/types.py
@@ -110,7 +110,7 @@
     backup: str = ''
 
 
-class Standing(StrEnum):
+class ExecutionStatus(StrEnum):
     """Say what an answer's head tells of the request."""
 
     #: The upstream ran it, or runs it.
@@ -134,7 +134,7 @@
 
     status: int
     headers: Headers
-    standing: Standing
+    execution: ExecutionStatus
     chunks: AsyncIterator[bytes]
     framed: bool = True
     backoff: Millis = 0
--- a/tests/test_silent_links.py
+++ b/tests/test_silent_links.py
@@ -17,9 +17,9 @@
 from cartdale.relay.stream import StreamCarrier, StreamEnd
 from cartdale.relay.types import (
     CallerRequest,
+    ExecutionStatus,
     OpenedAnswer,
     RoutedRequest,
-    Standing,
 )
 from cartdale.retries.window import RepeatBudget
 from cartdale.routes.types import Route, RouteKind
@@ -88,7 +88,7 @@
 
 
 def make_answer(chunks: AsyncIterator[bytes]) -> OpenedAnswer:
-    return OpenedAnswer(200, (), Standing.RAN, chunks)
+    return OpenedAnswer(200, (), ExecutionStatus.RAN, chunks)
 
 
 async def test_event_that_is_written_as_the_link_is_left_arrives(
