--- a/src/cartdale/daemon/relaying.py
+++ b/src/cartdale/daemon/relaying.py
@@ -8,8 +8,8 @@
 from cartdale.platform.settings import Bounds
 from cartdale.platform.upstreams import PlatformUpstreams
 from cartdale.relay.admission import Admission
+from cartdale.relay.crash_probes import CrashProber
 from cartdale.relay.discards import Discards
-from cartdale.relay.inquests import Inquests
 from cartdale.relay.ports import RelayPorts
 from cartdale.retries.window import RepeatBudget
 
@@ -28,7 +28,7 @@
             bounds.retry_ratio, bounds.retry_slack, bounds.retry_window
         )
         self._discards = Discards(self.upstreams)
-        self._inquests = Inquests(self.upstreams, fleet)
+        self._crash_prober = CrashProber(self.upstreams, fleet)
         self.ports = RelayPorts(
             clock=clock,
             fleet=fleet,
@@ -36,11 +36,11 @@
             upstreams=self.upstreams,
             budget=self.budget,
             discards=self._discards,
-            inquests=self._inquests,
+            crash_prober=self._crash_prober,
         )
 
     async def run(self) -> None:
         """Do what goes on beside the requests, for ever."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._discards.run)
-            nursery.start_soon(self._inquests.run)
+            nursery.start_soon(self._crash_prober.run)
--- a/src/cartdale/relay/attempts.py
+++ b/src/cartdale/relay/attempts.py
@@ -72,7 +72,7 @@
 
     Waits for what is still to be found out about one that is suspected.
     """
-    await ports.inquests.settle(routed.identity)
+    await ports.crash_prober.settle(routed.identity)
     return ports.fleet.quarantine.find_refusal(
         routed.identity, routed.request.request_id
     )
--- a/src/cartdale/relay/inquests.py
+++ b/src/cartdale/relay/crash_probes.py
@@ -50,7 +50,7 @@
     ended: trio.Event
 
 
-class Inquests:
+class CrashProber:
     """Ask upstreams whose links broke how they are, once for all links."""
 
     def __init__(self, upstreams: UpstreamPort, fleet: Fleet) -> None:
@@ -61,7 +61,7 @@
         self._put = ends[0]
         self._take = ends[1]
 
-    def hold(self, link: BrokenLink) -> None:
+    def probe(self, link: BrokenLink) -> None:
         """Find out soon whether the upstream of a link ended."""
         name = link.upstream.upstream
         held = self._inquests_by_upstream.get(name)
--- a/src/cartdale/relay/links.py
+++ b/src/cartdale/relay/links.py
@@ -3,7 +3,7 @@
 from cartdale.clock import Millis
 from cartdale.fleet.types import UpstreamEntry
 from cartdale.quarantine.decide import PAST_BEGINNING
-from cartdale.relay.inquests import BrokenLink
+from cartdale.relay.crash_probes import BrokenLink
 from cartdale.relay.ports import RelayPorts
 from cartdale.relay.types import RoutedRequest
 
@@ -56,7 +56,7 @@
         """Have it found out whether the upstream ended as its link did."""
         if self._upstream is None:
             return
-        self._ports.inquests.hold(
+        self._ports.crash_prober.probe(
             BrokenLink(
                 request_id=self._routed.request.request_id,
                 identity=self._routed.identity,
--- a/src/cartdale/relay/ports.py
+++ b/src/cartdale/relay/ports.py
@@ -5,8 +5,8 @@
 from cartdale.clock import Clock
 from cartdale.fleet.driver import Fleet
 from cartdale.relay.admission import Admission
+from cartdale.relay.crash_probes import CrashProber
 from cartdale.relay.discards import Discards
-from cartdale.relay.inquests import Inquests
 from cartdale.relay.types import UpstreamPort
 from cartdale.retries.window import RepeatBudget
 
@@ -17,7 +17,7 @@
 
     :param upstreams: reaches upstreams.
     :param discards: frees copies that nobody goes on from.
-    :param inquests: finds out whether an upstream ended as its link broke.
+    :param crash_prober: finds out whether an upstream ended as its link broke.
     """
 
     clock: Clock
@@ -26,4 +26,4 @@
     upstreams: UpstreamPort
     budget: RepeatBudget
     discards: Discards
-    inquests: Inquests
+    crash_prober: CrashProber
--- a/tests/test_inquests.py
+++ b/tests/test_crash_probes.py
@@ -7,7 +7,7 @@
 from cartdale.fleet.driver import Fleet
 from cartdale.fleet.types import UpstreamEntry
 from cartdale.quarantine.identity import identify
-from cartdale.relay.inquests import BrokenLink, Inquests
+from cartdale.relay.crash_probes import BrokenLink, CrashProber
 from tests.platform_stage import count_runs, make_headers, open_platform, until
 
 UPSTREAM = UpstreamEntry('a', 's', 'a:80', 'west', 4)
@@ -57,12 +57,14 @@
     autojump_clock,
 ) -> None:
     upstreams = CountingUpstreams()
-    inquests = Inquests(upstreams, Fleet(VirtualClock(), 'west', 1))
+    crash_prober = CrashProber(upstreams, Fleet(VirtualClock(), 'west', 1))
     lines = collect_lines('link broke')
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(inquests.run)
+        nursery.start_soon(crash_prober.run)
         for number in range(3):
-            inquests.hold(BrokenLink(f'r{number}', b'i', UPSTREAM, 0, number))
+            crash_prober.probe(
+                BrokenLink(f'r{number}', b'i', UPSTREAM, 0, number)
+            )
         await trio.sleep(1)
         nursery.cancel_scope.cancel()
     assert upstreams.asked == 1
