--- a/src/cartdale/daemon/relaying.py
+++ b/src/cartdale/daemon/relaying.py
@@ -8,8 +8,8 @@
 from cartdale.platform.settings import Bounds
 from cartdale.platform.upstreams import PlatformUpstreams
 from cartdale.relay.admission import Admission
+from cartdale.relay.copy_release import CopyReleaser
 from cartdale.relay.crash_probes import CrashProber
-from cartdale.relay.discards import Discards
 from cartdale.relay.ports import RelayPorts
 from cartdale.retries.window import RepeatBudget
 
@@ -27,7 +27,7 @@
         self.budget = RepeatBudget(
             bounds.retry_ratio, bounds.retry_slack, bounds.retry_window
         )
-        self._discards = Discards(self.upstreams)
+        self._copy_releaser = CopyReleaser(self.upstreams)
         self._crash_prober = CrashProber(self.upstreams, fleet)
         self.ports = RelayPorts(
             clock=clock,
@@ -35,12 +35,12 @@
             admission=Admission(fleet, clock, seed),
             upstreams=self.upstreams,
             budget=self.budget,
-            discards=self._discards,
+            copy_releaser=self._copy_releaser,
             crash_prober=self._crash_prober,
         )
 
     async def run(self) -> None:
         """Do what goes on beside the requests, for ever."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._discards.run)
+            nursery.start_soon(self._copy_releaser.run)
             nursery.start_soon(self._crash_prober.run)
--- a/src/cartdale/platform/upstreams.py
+++ b/src/cartdale/platform/upstreams.py
@@ -147,7 +147,7 @@
                 return Failure(CopyFailed(CopyFault.UNREACHABLE))
         return Failure(CopyFailed(CopyFault.NO_ANSWER))
 
-    async def drop(self, address: str, handle: str) -> None:
+    async def release_copy(self, address: str, handle: str) -> None:
         """Free a copy that is not needed."""
         await self._ask(
             'DELETE', address, f'{PATH_HANDLE}{handle}', b'', _REPORT_TIMEOUT
--- a/src/cartdale/relay/discards.py
+++ b/src/cartdale/relay/copy_release.py
@@ -9,7 +9,7 @@
 _MOST_WAITING = 256
 
 
-class Discards:
+class CopyReleaser:
     """Free unused copies, one after another, beside the requests.
 
     A generation may end while its copy is made or waits for the stop; the
@@ -37,4 +37,4 @@
         """Free what was added, for ever."""
         async for address, handle in self._take:
             logger.info('copy freed', address=address, handle=handle)
-            await self._upstreams.drop(address, handle)
+            await self._upstreams.release_copy(address, handle)
--- a/src/cartdale/relay/generation.py
+++ b/src/cartdale/relay/generation.py
@@ -308,4 +308,4 @@
 def _discard(ports: RelayPorts, state: MoveState, handle: str) -> None:
     """Free a copy at the target that nobody will go on from."""
     if state.target is not None and handle:
-        ports.discards.add(state.target.address, handle)
+        ports.copy_releaser.add(state.target.address, handle)
--- a/src/cartdale/relay/ports.py
+++ b/src/cartdale/relay/ports.py
@@ -5,8 +5,8 @@
 from cartdale.clock import Clock
 from cartdale.fleet.driver import Fleet
 from cartdale.relay.admission import Admission
+from cartdale.relay.copy_release import CopyReleaser
 from cartdale.relay.crash_probes import CrashProber
-from cartdale.relay.discards import Discards
 from cartdale.relay.types import UpstreamPort
 from cartdale.retries.window import RepeatBudget
 
@@ -16,7 +16,7 @@
     """Hold what every relayed request needs.
 
     :param upstreams: reaches upstreams.
-    :param discards: frees copies that nobody goes on from.
+    :param copy_releaser: frees copies that nobody goes on from.
     :param crash_prober: finds out whether an upstream ended as its link broke.
     """
 
@@ -25,5 +25,5 @@
     admission: Admission
     upstreams: UpstreamPort
     budget: RepeatBudget
-    discards: Discards
+    copy_releaser: CopyReleaser
     crash_prober: CrashProber
--- a/src/cartdale/relay/types.py
+++ b/src/cartdale/relay/types.py
@@ -249,7 +249,7 @@
     async def copy(self, copy: MemoryCopy) -> Result[Copied, CopyFailed]:
         """Copy a generation's memory."""
 
-    async def drop(self, address: str, handle: str) -> None:
+    async def release_copy(self, address: str, handle: str) -> None:
         """Free a copy that is not needed."""
 
     async def report(self, address: str) -> Result[EngineReport, SendFailure]:
--- a/tests/test_silent_links.py
+++ b/tests/test_silent_links.py
@@ -10,9 +10,9 @@
 from cartdale.fleet.driver import Fleet
 from cartdale.fleet.types import EngineReport, EntryWritten, UpstreamEntry
 from cartdale.relay.admission import Admission
+from cartdale.relay.copy_release import CopyReleaser
 from cartdale.relay.crash_probes import CrashProber
 from cartdale.relay.decide import Broken
-from cartdale.relay.discards import Discards
 from cartdale.relay.ports import RelayPorts
 from cartdale.relay.stream import StreamCarrier, StreamEnd
 from cartdale.relay.types import (
@@ -78,7 +78,7 @@
         admission=Admission(fleet, clock, 1),
         upstreams=None,
         budget=RepeatBudget(0.2, 50, 10000),
-        discards=Discards(None),
+        copy_releaser=CopyReleaser(None),
         crash_prober=CrashProber(None, fleet),
     )
     request = CallerRequest('r', 'POST', 'h', b'/', '', 0, ())
