--- a/src/cartdale/platform/exchanges.py
+++ b/src/cartdale/platform/exchanges.py
@@ -35,7 +35,7 @@
     Headers,
     LinkBroke,
     LinkBrokeError,
-    OpenedAnswer,
+    OpenedResponse,
     SendFailure,
     UpstreamCall,
 )
@@ -115,7 +115,7 @@
 
 def read_head(
     call: UpstreamCall, response: httpcore.Response, advisory: Advisory
-) -> Result[OpenedAnswer, SendFailure]:
+) -> Result[OpenedResponse, SendFailure]:
     """Read the head of an answer.
 
     One to another request, or a success without its seal, is no answer.
@@ -133,7 +133,7 @@
         if response.status < HTTPStatus.MULTIPLE_CHOICES and not sealed:
             return Failure(LinkBroke('a success without its seal'))
     return Success(
-        OpenedAnswer(
+        OpenedResponse(
             status=response.status,
             headers=_pass_headers(response.headers),
             execution=execution,
--- a/src/cartdale/platform/upstreams.py
+++ b/src/cartdale/platform/upstreams.py
@@ -41,7 +41,7 @@
     LinkBroke,
     MemoryCopy,
     NotSent,
-    OpenedAnswer,
+    OpenedResponse,
     SendFailure,
     SendWithheld,
     UpstreamCall,
@@ -95,7 +95,7 @@
     @asynccontextmanager
     async def open(
         self, call: UpstreamCall
-    ) -> AsyncIterator[Result[OpenedAnswer, SendFailure]]:
+    ) -> AsyncIterator[Result[OpenedResponse, SendFailure]]:
         """Send a request and read the head of its answer."""
         request = call.routed.request
         guard = _SendGuard(self._advisories, call)
--- a/src/cartdale/relay/attempts.py
+++ b/src/cartdale/relay/attempts.py
@@ -34,7 +34,7 @@
 from cartdale.relay.request_needs import make_request_needs
 from cartdale.relay.types import (
     ExecutionStatus,
-    OpenedAnswer,
+    OpenedResponse,
     RoutedRequest,
     UpstreamCall,
 )
@@ -182,7 +182,7 @@
 
 
 def find_decline(
-    fleet: Fleet, answer: OpenedAnswer, upstream: str
+    fleet: Fleet, answer: OpenedResponse, upstream: str
 ) -> Declined | None:
     """Return that an upstream did not run a request, if it says so.
 
--- a/src/cartdale/relay/passing.py
+++ b/src/cartdale/relay/passing.py
@@ -18,7 +18,7 @@
     RunState,
     look_up,
 )
-from cartdale.relay.types import AnswerSink, LinkBrokeError
+from cartdale.relay.types import LinkBrokeError, ResponseSink
 from cartdale.switches import Mechanism
 
 #: A stream that is silent for so long goes on elsewhere if it can: its engine
@@ -42,7 +42,7 @@
     def __init__(
         self,
         ports: RelayPorts,
-        sink: AnswerSink,
+        sink: ResponseSink,
         generation: RunningGeneration,
         last_event: bytes,
         target_gap: Millis,
--- a/src/cartdale/relay/plain.py
+++ b/src/cartdale/relay/plain.py
@@ -33,14 +33,14 @@
 from cartdale.relay.links import CarriedLink
 from cartdale.relay.ports import RelayPorts
 from cartdale.relay.types import (
+    CompleteResponse,
     LinkBroke,
     LinkBrokeError,
     NotSent,
-    OpenedAnswer,
+    OpenedResponse,
     RoutedRequest,
     SendWithheld,
     UpstreamCall,
-    WholeAnswer,
 )
 
 #: Part of the target latency after which a request that may repeat is sent
@@ -51,7 +51,7 @@
 _FIRST_SERVER_ERROR = 500
 
 
-Ended = tuple[AttemptEnd, WholeAnswer | None]
+Ended = tuple[AttemptEnd, CompleteResponse | None]
 
 
 class PlainCarrier:
@@ -67,7 +67,7 @@
         self._link = CarriedLink(ports, routed)
         self._state: AttemptState = begin(routed.route)
 
-    async def carry(self) -> Result[WholeAnswer, Problem]:
+    async def carry(self) -> Result[CompleteResponse, Problem]:
         """Return an upstream's answer, or why there is none."""
         self._ports.budget.count(self._routed.service, self._ports.clock.now())
         left = time_left(self._ports, self._routed)
@@ -75,7 +75,7 @@
             return await self._try_upstreams()
         return Failure(self._time_out())
 
-    async def _try_upstreams(self) -> Result[WholeAnswer, Problem]:
+    async def _try_upstreams(self) -> Result[CompleteResponse, Problem]:
         while True:
             upstream = await place(self._ports, self._routed, self._tried)
             if isinstance(upstream, NoRoom):
@@ -128,7 +128,7 @@
                     return self._break(detail), None
         return Broken('no answer'), None
 
-    async def _read(self, answer: OpenedAnswer, call: UpstreamCall) -> Ended:
+    async def _read(self, answer: OpenedResponse, call: UpstreamCall) -> Ended:
         fleet = self._ports.fleet
         declined = find_decline(fleet, answer, call.upstream.upstream)
         if declined is not None:
@@ -141,7 +141,7 @@
         ran = answer.status < _FIRST_REDIRECT
         self._link.note_whole(framed=answer.framed, good=ran)
         good = answer.status < _FIRST_SERVER_ERROR
-        whole = WholeAnswer(answer.status, answer.headers, body)
+        whole = CompleteResponse(answer.status, answer.headers, body)
         return Answered(good=good), whole
 
     def _break(self, detail: str) -> Broken:
--- a/src/cartdale/relay/stream.py
+++ b/src/cartdale/relay/stream.py
@@ -41,15 +41,15 @@
 from cartdale.relay.ports import RelayPorts
 from cartdale.relay.silence import await_loss
 from cartdale.relay.types import (
-    AnswerSink,
+    CompleteResponse,
     LinkBroke,
     LinkBrokeError,
-    OpenedAnswer,
+    OpenedResponse,
+    ResponseSink,
     RoutedRequest,
     SendFailure,
     SendWithheld,
     UpstreamCall,
-    WholeAnswer,
 )
 from cartdale.switches import Mechanism
 
@@ -83,7 +83,7 @@
         self,
         ports: RelayPorts,
         routed: RoutedRequest,
-        sink: AnswerSink,
+        sink: ResponseSink,
         generation: RunningGeneration,
     ) -> None:
         self._ports = ports
@@ -108,7 +108,7 @@
             self._link,
         )
         #: An upstream's own failure, passed on if nobody else is asked.
-        self._failure: WholeAnswer | None = None
+        self._failure: CompleteResponse | None = None
         self._started = False
         self._sent = False
 
@@ -255,7 +255,7 @@
                 waiting.cancel()
 
     async def _take_opened(
-        self, opened: Result[OpenedAnswer, SendFailure], call: UpstreamCall
+        self, opened: Result[OpenedResponse, SendFailure], call: UpstreamCall
     ) -> LinkEnd:
         match opened:
             case Success(answer):
@@ -269,7 +269,9 @@
                 return Withheld()
         return Unsent()
 
-    async def _read(self, answer: OpenedAnswer, call: UpstreamCall) -> LinkEnd:
+    async def _read(
+        self, answer: OpenedResponse, call: UpstreamCall
+    ) -> LinkEnd:
         fleet = self._ports.fleet
         upstream = call.upstream.upstream
         declined = find_decline(fleet, answer, upstream)
@@ -287,7 +289,7 @@
         resumed = call.resume is not None
         return await self._pass_events(answer, resumed=resumed)
 
-    async def _read_failure(self, answer: OpenedAnswer) -> LinkEnd:
+    async def _read_failure(self, answer: OpenedResponse) -> LinkEnd:
         """Keep an upstream's own failure; another may be asked instead."""
         if self._started:
             return self._break(f'status {answer.status}')
@@ -296,11 +298,11 @@
         except LinkBrokeError as error:
             self._link.inquire()
             return self._break(error.detail)
-        self._failure = WholeAnswer(answer.status, answer.headers, body)
+        self._failure = CompleteResponse(answer.status, answer.headers, body)
         return Answered(good=False)
 
     async def _pass_events(
-        self, answer: OpenedAnswer, *, resumed: bool = False
+        self, answer: OpenedResponse, *, resumed: bool = False
     ) -> LinkEnd:
         broken = await self._passer.pass_until_end(
             answer.chunks,
--- a/src/cartdale/relay/types.py
+++ b/src/cartdale/relay/types.py
@@ -122,7 +122,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OpenedAnswer:
+class OpenedResponse:
     """Hold the head of an answer and read its body.
 
     :param headers: those that the caller gets as they are.
@@ -141,7 +141,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WholeAnswer:
+class CompleteResponse:
     """Hold an upstream's answer that is whole."""
 
     status: int
@@ -173,7 +173,7 @@
 
 
 SendFailure = NotSent | SendWithheld | LinkBroke
-Opened = AbstractAsyncContextManager[Result[OpenedAnswer, SendFailure]]
+Opened = AbstractAsyncContextManager[Result[OpenedResponse, SendFailure]]
 
 
 class LinkBrokeError(CartdaleError):
@@ -264,7 +264,7 @@
         """
 
 
-class AnswerSink(Protocol):
+class ResponseSink(Protocol):
     """Write an answer to the caller."""
 
     async def start(self, status: int, headers: Headers) -> None:
--- a/tests/test_silent_links.py
+++ b/tests/test_silent_links.py
@@ -18,7 +18,7 @@
 from cartdale.relay.types import (
     CallerRequest,
     ExecutionStatus,
-    OpenedAnswer,
+    OpenedResponse,
     RoutedRequest,
 )
 from cartdale.retries.window import RepeatBudget
@@ -87,8 +87,8 @@
     return StreamCarrier(ports, routed, sink, generation)
 
 
-def make_answer(chunks: AsyncIterator[bytes]) -> OpenedAnswer:
-    return OpenedAnswer(200, (), ExecutionStatus.RAN, chunks)
+def make_answer(chunks: AsyncIterator[bytes]) -> OpenedResponse:
+    return OpenedResponse(200, (), ExecutionStatus.RAN, chunks)
 
 
 async def test_event_that_is_written_as_the_link_is_left_arrives(
