--- a/src/cartdale/platform/upstreams.py
+++ b/src/cartdale/platform/upstreams.py
@@ -138,7 +138,7 @@
             copy.source,
             PATH_MOVE,
             msgspec.json.encode(order),
-            copy.patience,
+            copy.timeout,
         )
         match answer:
             case Success(response):
--- a/src/cartdale/relay/copying.py
+++ b/src/cartdale/relay/copying.py
@@ -49,20 +49,20 @@
         target: UpstreamEntry,
         *,
         last: bool,
-        patience: Millis,
+        timeout: Millis,
     ) -> CopyEnded | CopyRejected | None:
         """Copy to a target, and return what to tell of it.
 
         :param state: where the generation stands when the copy begins.
         :param last: whether the copy stops the generation.
-        :param patience: longest wait for the engine's answer.
+        :param timeout: longest wait for the engine's answer.
         """
         copy = MemoryCopy(
             self._request_id,
             state.source.address,
             target.address,
             last,
-            patience,
+            timeout,
         )
         asked_at = self._clock.now()
         self.renewed = state.phase is MovePhase.REFRESHING
--- a/src/cartdale/relay/generation.py
+++ b/src/cartdale/relay/generation.py
@@ -41,7 +41,7 @@
 from cartdale.relay.pacing import PaceMeter
 from cartdale.relay.ports import RelayPorts
 from cartdale.relay.targets import choose_target
-from cartdale.relay.types import COPY_PATIENCE, ResumePoint, RoutedRequest
+from cartdale.relay.types import COPY_TIMEOUT, ResumePoint, RoutedRequest
 from cartdale.switches import Mechanism
 
 #: First pause before another look for an engine with room for a generation that
@@ -251,7 +251,7 @@
         return self._tell(LinkBusy())
 
     async def _copy(
-        self, action: Copy, patience: Millis = COPY_PATIENCE
+        self, action: Copy, timeout: Millis = COPY_TIMEOUT
     ) -> Action | None:
         if action.pause:
             await trio.sleep(seconds(action.pause))
@@ -259,7 +259,7 @@
         if state is None or state.target is None or self._ended:
             return None
         outcome = await self._copier.copy(
-            state, state.target, last=action.last, patience=patience
+            state, state.target, last=action.last, timeout=timeout
         )
         if outcome is None:
             return None
--- a/src/cartdale/relay/types.py
+++ b/src/cartdale/relay/types.py
@@ -15,7 +15,7 @@
 from cartdale.routes.types import Route, ServiceSpec
 
 #: Longest wait for a copy: all of an engine's memory over its link.
-COPY_PATIENCE: Millis = 3 * SECOND_MS
+COPY_TIMEOUT: Millis = 3 * SECOND_MS
 
 Headers = tuple[tuple[bytes, bytes], ...]
 
@@ -192,14 +192,14 @@
     """Ask an engine to copy a generation's memory to another.
 
     :param last: whether the generation stops first.
-    :param patience: longest wait for the answer.
+    :param timeout: longest wait for the answer.
     """
 
     request_id: str
     source: str
     target: str
     last: bool
-    patience: Millis = COPY_PATIENCE
+    timeout: Millis = COPY_TIMEOUT
 
 
 @dataclass(frozen=True, slots=True)
