--- a/src/cartdale/platform/callers.py
+++ b/src/cartdale/platform/callers.py
@@ -84,7 +84,7 @@
         deadline=_read_number(named.get(HEADER_DEADLINE, '')),
         headers=tuple(forwarded),
         prompt_tokens=prompt,
-        most_tokens=most,
+        max_tokens=most,
         expected_tokens=_read_number(named.get(HEADER_HINT, '')),
         last_event=named.get(HEADER_LAST_EVENT, '').encode('latin-1'),
     )
--- a/src/cartdale/relay/generation.py
+++ b/src/cartdale/relay/generation.py
@@ -103,7 +103,7 @@
     def most_left(self) -> int:
         """Return how many tokens it makes at the most from here."""
         made = self.events * self._event_tokens
-        return max(self._routed.request.most_tokens - made, 0)
+        return max(self._routed.request.max_tokens - made, 0)
 
     @property
     def backup(self) -> str:
--- a/src/cartdale/relay/request_needs.py
+++ b/src/cartdale/relay/request_needs.py
@@ -14,9 +14,9 @@
 ) -> RequestNeeds:
     """Return what a request takes at an upstream."""
     request = routed.request
-    expected = request.expected_tokens or request.most_tokens // 2
-    if request.most_tokens:
-        expected = min(expected, request.most_tokens)
+    expected = request.expected_tokens or request.max_tokens // 2
+    if request.max_tokens:
+        expected = min(expected, request.max_tokens)
     return RequestNeeds(
         service=routed.service,
         prompt=request.prompt_tokens,
@@ -36,7 +36,7 @@
     :param made: tokens made before it came there.
     """
     needs = make_request_needs(routed)
-    most = routed.request.most_tokens
+    most = routed.request.max_tokens
     return Assignment(
         upstream.upstream,
         needs.prompt,
--- a/src/cartdale/relay/types.py
+++ b/src/cartdale/relay/types.py
@@ -28,7 +28,7 @@
     :param key: the caller's credential; empty for none.
     :param deadline: how long the caller waits; 0 when it did not say.
     :param prompt_tokens: tokens to read; 0 for a plain request.
-    :param most_tokens: the most tokens to make.
+    :param max_tokens: the most tokens to make.
     :param expected_tokens: the caller's estimate of the tokens to make,
         right at the median; 0 when it gave none.
     :param last_event: id of the last event that the caller has from a stream
@@ -45,7 +45,7 @@
     headers: Headers
     body: bytes = b''
     prompt_tokens: int = 0
-    most_tokens: int = 0
+    max_tokens: int = 0
     expected_tokens: int = 0
     last_event: bytes = b''
 
--- a/tests/test_platform_wire.py
+++ b/tests/test_platform_wire.py
@@ -145,7 +145,7 @@
     assert request.path == '/a/b'
     assert request.key == 'secret'
     assert request.deadline == 1500
-    assert (request.prompt_tokens, request.most_tokens) == (1460, 80)
+    assert (request.prompt_tokens, request.max_tokens) == (1460, 80)
     assert request.expected_tokens == 60
     names = {name for name, _ in request.headers}
     assert names == {
--- a/tests/test_targets.py
+++ b/tests/test_targets.py
@@ -44,7 +44,7 @@
         0,
         (),
         prompt_tokens=3000,
-        most_tokens=2000,
+        max_tokens=2000,
         expected_tokens=expected,
     )
     route = Route('d', 'h', '/', RouteKind.STREAM, 9000, 2000, ())
