--- a/src/cartdale/callers/app.py
+++ b/src/cartdale/callers/app.py
@@ -180,7 +180,7 @@
             return answer_problem(read.failure())
         call = read.unwrap()
         position = read_position(
-            self._ports.delivery.sealer,
+            self._ports.delivery.position_signer,
             request.headers.get(HEADER_RESUME, ''),
             call,
         )
--- a/src/cartdale/callers/generations.py
+++ b/src/cartdale/callers/generations.py
@@ -87,7 +87,7 @@
         return await self._answer(call, await _begin(delivery))
 
     async def _attach(self, call: GenerationCall, kept: KeptAnswer) -> Response:
-        position = self._ports.sealer.open(f'{kept.origin}.0.')
+        position = self._ports.position_signer.verify(f'{kept.origin}.0.')
         if position is None:
             return answer_problem(OutcomeUnknown('the answer was not kept'))
         return await self.resume(call, position)
@@ -123,7 +123,7 @@
             case Broken():
                 await self._keys.settle(grant, RecordPhase.UNKNOWN, None)
             case _:
-                kept = KeptAnswer(origin=begun.delivery.sealed_origin)
+                kept = KeptAnswer(origin=begun.delivery.signed_origin)
                 await self._keys.settle(grant, RecordPhase.FINISHED, kept)
 
     async def _answer(self, call: GenerationCall, begun: _Begun) -> Response:
--- a/src/cartdale/callers/read.py
+++ b/src/cartdale/callers/read.py
@@ -18,7 +18,7 @@
 from cartdale.routing.lengths import describe_shape
 from cartdale.routing.types import Work
 from cartdale.streams.answers import DeliveryRequest
-from cartdale.streams.position import Position, PositionSealer
+from cartdale.streams.position import Position, PositionSigner
 
 HEADER_RESUME = 'Last-Event-ID'
 
@@ -78,7 +78,7 @@
 
 
 def read_position(
-    sealer: PositionSealer, text: str, call: GenerationCall
+    position_signer: PositionSigner, text: str, call: GenerationCall
 ) -> Result[Position | None, Problem]:
     """Open the position of a caller who resumes an answer.
 
@@ -86,7 +86,7 @@
     """
     if not text:
         return Success(None)
-    position = sealer.open(text)
+    position = position_signer.verify(text)
     if position is None or position.origin.customer != call.caller.name:
         expected = 'the id of an event of this answer'
         return Failure(BadRequest(HEADER_RESUME, expected))
--- a/src/cartdale/daemon/runtime.py
+++ b/src/cartdale/daemon/runtime.py
@@ -39,7 +39,7 @@
 from cartdale.settings.types import Settings
 from cartdale.store.etcd import EtcdStore
 from cartdale.streams.ports import DeliveryPorts
-from cartdale.streams.position import PositionSealer
+from cartdale.streams.position import PositionSigner
 
 _STORE_TIMEOUT: Millis = 3 * SECOND_MS
 #: Between leaving and closing the listeners, for the balancer to notice.
@@ -63,7 +63,7 @@
         self._base = base
         self._clock = clock or SystemClock()
         self._keys: Keys = load_keys(settings, base)
-        self._sealer = PositionSealer(_sealing_keys(self._keys))
+        self._position_signer = PositionSigner(_sealing_keys(self._keys))
         self._declared = Declarations()
         self._directory = Directory()
         self._seed = zlib.crc32(settings.name.encode())
@@ -144,7 +144,7 @@
         """Read the key files again."""
         self._keys = load_keys(self._settings, self._base)
         self._group.set_keys(self._keys)
-        self._sealer.rotate(_sealing_keys(self._keys))
+        self._position_signer.rotate(_sealing_keys(self._keys))
         logger.info('keys reloaded')
 
     def describe(self) -> SystemStatus:
@@ -178,7 +178,7 @@
         delivery = DeliveryPorts(
             clock=self._clock,
             placer=self._group.placer,
-            sealer=self._sealer,
+            position_signer=self._position_signer,
             engine_of=self._pool.find,
             nursery=nursery,
             budget=budget,
--- a/src/cartdale/streams/driver.py
+++ b/src/cartdale/streams/driver.py
@@ -90,7 +90,7 @@
         )
         position = asked.position
         digest = position.prefix_digest if position else ''
-        self._prefix = DeliveredPrefix(ports.sealer, digest)
+        self._prefix = DeliveredPrefix(ports.position_signer, digest)
         self.state = begin(
             asked.generation.generation,
             '',
@@ -99,7 +99,7 @@
         )
 
     @property
-    def sealed_origin(self) -> str:
+    def signed_origin(self) -> str:
         """Return the sealed origin, by which others attach."""
         return self._prefix.sealed
 
--- a/src/cartdale/streams/ports.py
+++ b/src/cartdale/streams/ports.py
@@ -12,7 +12,7 @@
 from cartdale.reports.recorder import Recorder
 from cartdale.retries.backoffs import BackoffTracker
 from cartdale.retries.decide import RetryBudget
-from cartdale.streams.position import PositionSealer
+from cartdale.streams.position import PositionSigner
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,7 +24,7 @@
 
     clock: Clock
     placer: Placer
-    sealer: PositionSealer
+    position_signer: PositionSigner
     engine_of: Callable[[str], Engine]
     nursery: trio.Nursery
     budget: RetryBudget
--- a/src/cartdale/streams/position.py
+++ b/src/cartdale/streams/position.py
@@ -62,7 +62,7 @@
         return self._hash.hexdigest()
 
 
-class PositionSealer:
+class PositionSigner:
     """Seal and open positions with keys that all instances know.
 
     :param keys: accepted keys, the newest first; it seals.
@@ -75,12 +75,12 @@
         """Take other keys; positions of keys still listed stay valid."""
         self._keys = keys
 
-    def seal(self, origin: Origin) -> str:
+    def sign(self, origin: Origin) -> str:
         """Return the sealed origin, the constant part of every event id."""
         raw = encode_binary(origin)
         return urlsafe_b64encode(_mac(self._keys[0], raw) + raw).decode()
 
-    def open(self, text: str) -> Position | None:
+    def verify(self, text: str) -> Position | None:
         """Return the position, or ``None`` when it is not genuine."""
         parts = text.split(_SEPARATOR)
         if len(parts) != _PARTS or not parts[1].isdecimal():
@@ -111,15 +111,17 @@
     :param prefix_digest: digest of what a resumed caller already has.
     """
 
-    def __init__(self, sealer: PositionSealer, prefix_digest: str) -> None:
-        self._sealer = sealer
+    def __init__(
+        self, position_signer: PositionSigner, prefix_digest: str
+    ) -> None:
+        self._position_signer = position_signer
         self._running = PrefixDigest()
         self._delivered = prefix_digest
         self.sealed = ''
 
     def bind(self, origin: Origin) -> None:
         """Seal the origin of the run that is followed from now on."""
-        self.sealed = self._sealer.seal(origin)
+        self.sealed = self._position_signer.sign(origin)
 
     def restart(self) -> None:
         """Begin to read a run from its first token."""
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -12,7 +12,7 @@
 from cartdale.problems.types import EndedEarly, NotRun, OutcomeUnknown
 from cartdale.streams import decide as streams
 from cartdale.streams.decide import begin, decide, move
-from cartdale.streams.position import Origin, PositionSealer
+from cartdale.streams.position import Origin, PositionSigner
 from cartdale.streams.types import (
     LOST_ENGINE_MS,
     REFUSING_ENGINE_MS,
@@ -129,23 +129,23 @@
 
 
 def test_positions_are_genuine_or_nothing() -> None:
-    sealer = PositionSealer((b'new-key', b'old-key'))
+    position_signer = PositionSigner((b'new-key', b'old-key'))
     origin = Origin('g', 'u', 'c', 's', 'd')
-    sealed = PositionSealer((b'old-key',)).seal(origin)
-    assert sealer.open(f'{sealed}.7.abc').offset == 7
-    assert sealer.open(f'{sealed}.-7.abc') is None
-    assert sealer.open(f'{sealed[:-4]}AAAA.7.abc') is None
-    assert sealer.open('') is None
-    assert PositionSealer((b'else',)).open(f'{sealed}.7.abc') is None
+    sealed = PositionSigner((b'old-key',)).sign(origin)
+    assert position_signer.verify(f'{sealed}.7.abc').offset == 7
+    assert position_signer.verify(f'{sealed}.-7.abc') is None
+    assert position_signer.verify(f'{sealed[:-4]}AAAA.7.abc') is None
+    assert position_signer.verify('') is None
+    assert PositionSigner((b'else',)).verify(f'{sealed}.7.abc') is None
 
 
 def test_positions_outlive_a_rotation_of_keys() -> None:
-    sealer = PositionSealer((b'first',))
-    sealed = sealer.seal(Origin('g', 'u', 'c', 's', 'd'))
-    sealer.rotate((b'second', b'first'))
-    assert sealer.open(f'{sealed}.7.abc') is not None
-    sealer.rotate((b'second',))
-    assert sealer.open(f'{sealed}.7.abc') is None
+    position_signer = PositionSigner((b'first',))
+    sealed = position_signer.sign(Origin('g', 'u', 'c', 's', 'd'))
+    position_signer.rotate((b'second', b'first'))
+    assert position_signer.verify(f'{sealed}.7.abc') is not None
+    position_signer.rotate((b'second',))
+    assert position_signer.verify(f'{sealed}.7.abc') is None
 
 
 class Link:
