--- a/src/cartdale/daemon/runtime.py
+++ b/src/cartdale/daemon/runtime.py
@@ -179,7 +179,7 @@
             clock=self._clock,
             placer=self._group.placer,
             position_signer=self._position_signer,
-            engine_of=self._pool.find,
+            find_engine=self._pool.find,
             nursery=nursery,
             budget=budget,
             recorder=self._recorder,
--- a/src/cartdale/streams/driver.py
+++ b/src/cartdale/streams/driver.py
@@ -174,7 +174,7 @@
         self._prefix.restart()
         self._bind()
         self._watch.note_sent(self._ports.clock.now())
-        engine = self._ports.engine_of(self.state.upstream)
+        engine = self._ports.find_engine(self.state.upstream)
         request = replace(
             self.asked.generation, generation=self.state.generation
         )
@@ -187,7 +187,7 @@
     def _open(self, attach: Attach) -> None:
         if not attach.offset:
             self._prefix.restart()
-        engine = self._ports.engine_of(self.state.upstream)
+        engine = self._ports.find_engine(self.state.upstream)
         self._read(engine.attach(self.state.generation, attach.offset))
 
     def _read(self, opener: OpenedEvents) -> None:
@@ -272,7 +272,7 @@
                 assert_never(action)
 
     def _protect(self, steps: int) -> None:
-        engine = self._ports.engine_of(self.state.upstream)
+        engine = self._ports.find_engine(self.state.upstream)
         priority = self.asked.generation.priority + steps
         self._ports.nursery.start_soon(
             engine.raise_priority, self.state.generation, priority
@@ -285,7 +285,7 @@
             await self._tell(PrefixDiffers())
 
     async def _ask_status(self) -> None:
-        engine = self._ports.engine_of(self.state.upstream)
+        engine = self._ports.find_engine(self.state.upstream)
         answer = await engine.status(self.state.generation, _STATUS_TIMEOUT)
         if answer == Failure(GenerationUnknown()):
             await self._tell(GenerationLost())
@@ -354,12 +354,12 @@
 
     async def _cancel(self, abandoned: StreamState) -> None:
         if abandoned.sent:
-            engine = self._ports.engine_of(abandoned.upstream)
+            engine = self._ports.find_engine(abandoned.upstream)
             await engine.cancel(abandoned.generation)
 
     async def _cancel_later(self, abandoned: StreamState) -> None:
         await trio.sleep(seconds(_ABANDON_GRACE))
-        engine = self._ports.engine_of(abandoned.upstream)
+        engine = self._ports.find_engine(abandoned.upstream)
         answer = await engine.status(abandoned.generation, _STATUS_TIMEOUT)
         status = answer.value_or(None)
         if status is not None and not status.readers:
--- a/src/cartdale/streams/ports.py
+++ b/src/cartdale/streams/ports.py
@@ -19,13 +19,13 @@
 class DeliveryPorts:
     """Bundle what a delivery uses of its instance.
 
-    :param engine_of: finds the adapter of an upstream.
+    :param find_engine: finds the adapter of an upstream.
     """
 
     clock: Clock
     placer: Placer
     position_signer: PositionSigner
-    engine_of: Callable[[str], Engine]
+    find_engine: Callable[[str], Engine]
     nursery: trio.Nursery
     budget: RetryBudget
     recorder: Recorder
