--- a/src/cartdale/daemon/links.py
+++ b/src/cartdale/daemon/links.py
@@ -52,7 +52,7 @@
             case PlaceRequest():
                 return await self.placer.serve(message)
             case EndReport():
-                self.placer.take(message)
+                self.placer.apply_report(message)
             case Claim():
                 return self.owner.take(message, message.key)
             case Settle() | Release():
--- a/src/cartdale/daemon/runtime.py
+++ b/src/cartdale/daemon/runtime.py
@@ -226,7 +226,7 @@
         self._declared = decode_bodies(state.bodies_by_key)
         self._directory = make_directory(self._declared)
         self._pool.router.dispatch(derive_targets(self._declared))
-        self._group.placer.set_targets()
+        self._group.placer.update_groups()
         self._group.limiter.set_rates(derive_rates(self._declared))
         took = self._configurator.took
         self._group.membership.tell(RevisionAdopted(state.revision, took))
--- a/src/cartdale/placement/driver.py
+++ b/src/cartdale/placement/driver.py
@@ -70,7 +70,7 @@
                 for name, report in reports.items():
                     nursery.start_soon(self._send, name, report)
 
-    def set_targets(self) -> None:
+    def update_groups(self) -> None:
         """Take the cells of a configuration that came in force."""
         self._cells = derive_cells(self._ports.declared())
 
@@ -104,7 +104,7 @@
                 return PlaceAnswer('', reason, wait)
         return PlaceAnswer()
 
-    def take(self, report: EndReport) -> None:
+    def apply_report(self, report: EndReport) -> None:
         """Take another instance's report."""
         for ended in report.ended:
             self._ports.router.dispatch(
@@ -113,7 +113,9 @@
         for upstream in report.failed:
             self._ports.router.dispatch(UpstreamFailed(upstream))
 
-    def end(self, work_id: str, produced: int, *, finished: bool) -> None:
+    def report_end(
+        self, work_id: str, produced: int, *, finished: bool
+    ) -> None:
         """Report that work left its engine."""
         self._ports.router.dispatch(WorkEnded(work_id, produced, finished))
         placer = self._placers_by_work.pop(work_id, None)
@@ -125,7 +127,7 @@
             report, ended=(*report.ended, ended)
         )
 
-    def blame(self, work_id: str, upstream: str) -> None:
+    def report_failure(self, work_id: str, upstream: str) -> None:
         """Report that an engine refused or was lost."""
         self._ports.router.dispatch(UpstreamFailed(upstream))
         placer = self._placers_by_work.get(work_id)
@@ -192,7 +194,7 @@
                 return Failure(NotRun(reason, wait))
         self._ports.membership.tell(PeerSilent(placer.name))
         # A placement whose answer was lost must not be counted for ever.
-        self.end(work.work_id, 0, finished=False)
+        self.report_end(work.work_id, 0, finished=False)
         return None
 
     def _open_report(self, placer: MemberNews) -> EndReport:
--- a/src/cartdale/streams/driver.py
+++ b/src/cartdale/streams/driver.py
@@ -346,11 +346,15 @@
         if isinstance(closing, StartRefused):
             self._ports.backoffs.note(self.state.upstream, closing.backoff)
         if isinstance(closing, _ENGINE_AT_FAULT):
-            self._ports.placer.blame(self.state.generation, self.state.upstream)
+            self._ports.placer.report_failure(
+                self.state.generation, self.state.upstream
+            )
 
     def _settle(self, *, finished: bool) -> None:
         work_id = self.state.generation
-        self._ports.placer.end(work_id, self.state.received, finished=finished)
+        self._ports.placer.report_end(
+            work_id, self.state.received, finished=finished
+        )
 
     async def _cancel(self, abandoned: StreamState) -> None:
         if abandoned.sent:
