--- a/src/cartdale/placement/driver.py
+++ b/src/cartdale/placement/driver.py
@@ -13,7 +13,11 @@
 from cartdale.membership.types import MemberNews, PeerSilent
 from cartdale.peers.client import PeerClient
 from cartdale.peers.messages import Acknowledged
-from cartdale.placement.cells import Cell, cells_of_service, derive_cells
+from cartdale.placement.groups import (
+    PlacementGroup,
+    derive_placement_groups,
+    groups_of_service,
+)
 from cartdale.placement.types import (
     EndedWork,
     EndReport,
@@ -52,7 +56,7 @@
     def __init__(self, ports: PlacementPorts, seed: int) -> None:
         self._ports = ports
         self._generator = random.Random(seed)
-        self._cells: tuple[Cell, ...] = ()
+        self._groups: tuple[PlacementGroup, ...] = ()
         self._placers_by_work: dict[str, MemberNews] = {}
         self._reports_by_name: dict[str, EndReport] = {}
         self._addresses_by_name: dict[str, str] = {}
@@ -72,17 +76,17 @@
 
     def update_groups(self) -> None:
         """Take the cells of a configuration that came in force."""
-        self._cells = derive_cells(self._ports.declared())
+        self._groups = derive_placement_groups(self._ports.declared())
 
     async def place(self, work: Work) -> Placed:
         """Wait until the work may run, and return its upstream."""
         own = self._ports.membership.state.own
         named = replace(work, entry=own.name)
-        cell = self._choose_cell(work)
-        if cell is None:
+        group = self._choose_group(work)
+        if group is None:
             return await self._ports.router.place(named)
-        confined = replace(named, within=tuple(sorted(cell.upstreams)))
-        for placer in self._ports.membership.rank(cell.key)[:_PLACERS_TRIED]:
+        confined = replace(named, within=tuple(sorted(group.upstreams)))
+        for placer in self._ports.membership.rank(group.key)[:_PLACERS_TRIED]:
             placed = await self._ask(placer, confined)
             if placed is not None and not _is_leaving(placed):
                 return placed
@@ -140,29 +144,29 @@
 
     def decides_for(self, upstream: str) -> bool:
         """Tell whether this instance is the placer of an engine."""
-        for cell in self._cells:
-            if upstream in cell.upstreams:
-                return self._is_first(cell)
+        for group in self._groups:
+            if upstream in group.upstreams:
+                return self._is_first(group)
         return True
 
-    def _is_first(self, cell: Cell) -> bool:
-        ranked = self._ports.membership.rank(cell.key)
+    def _is_first(self, group: PlacementGroup) -> bool:
+        ranked = self._ports.membership.rank(group.key)
         return not ranked or ranked[0].name == self._ports.membership.name
 
-    def _choose_cell(self, work: Work) -> Cell | None:
-        cells = cells_of_service(
-            self._ports.declared(), self._cells, work.service
+    def _choose_group(self, work: Work) -> PlacementGroup | None:
+        groups = groups_of_service(
+            self._ports.declared(), self._groups, work.service
         )
         usable = tuple(
-            cell for cell in cells if self._has_open_engine(cell, work)
+            group for group in groups if self._has_open_engine(group, work)
         )
         if not usable:
             return None
         return self._generator.choice(usable)
 
-    def _has_open_engine(self, cell: Cell, work: Work) -> bool:
+    def _has_open_engine(self, group: PlacementGroup, work: Work) -> bool:
         declared = self._ports.declared()
-        wanted = cell.upstreams.intersection(
+        wanted = group.upstreams.intersection(
             declared.services[work.service].upstreams
         )
         return any(
--- a/src/cartdale/placement/cells.py
+++ b/src/cartdale/placement/groups.py
@@ -13,52 +13,56 @@
 from cartdale.declarations.types import Declarations, UpstreamKind
 
 #: Engines in one cell at most.
-CELL_SIZE = 8
+PLACEMENT_GROUP_SIZE = 8
 
 
 @dataclass(frozen=True, slots=True)
-class Cell:
+class PlacementGroup:
     """Group engines of one model.
 
-    :param cell_id: ``model/number``.
+    :param group_id: ``model/number``.
     """
 
-    cell_id: str
+    group_id: str
     upstreams: frozenset[str]
 
     @property
     def key(self) -> str:
         """Return the key by which members are ranked for this cell."""
-        return f'cell:{self.cell_id}'
+        return f'cell:{self.group_id}'
 
 
-def derive_cells(declared: Declarations) -> tuple[Cell, ...]:
+def derive_placement_groups(
+    declared: Declarations,
+) -> tuple[PlacementGroup, ...]:
     """Divide every model's engines evenly, whatever their order."""
     names_by_model: dict[str, list[str]] = {}
     for name, upstream in sorted(declared.upstreams.items()):
         if upstream.kind is UpstreamKind.ENGINE:
             names_by_model.setdefault(upstream.model, []).append(name)
-    cells: list[Cell] = []
+    groups: list[PlacementGroup] = []
     for model, names in sorted(names_by_model.items()):
-        cells.extend(_divide(model, names))
-    return tuple(cells)
+        groups.extend(_divide(model, names))
+    return tuple(groups)
 
 
-def cells_of_service(
-    declared: Declarations, cells: tuple[Cell, ...], service: str
-) -> tuple[Cell, ...]:
+def groups_of_service(
+    declared: Declarations, groups: tuple[PlacementGroup, ...], service: str
+) -> tuple[PlacementGroup, ...]:
     """Return the cells that hold an upstream of a service."""
     wanted = declared.services.get(service)
     if wanted is None:
         return ()
     return tuple(
-        cell
-        for cell in cells
-        if not cell.upstreams.isdisjoint(wanted.upstreams)
+        group
+        for group in groups
+        if not group.upstreams.isdisjoint(wanted.upstreams)
     )
 
 
-def _divide(model: str, names: list[str]) -> Iterator[Cell]:
-    count = -(-len(names) // CELL_SIZE)
+def _divide(model: str, names: list[str]) -> Iterator[PlacementGroup]:
+    count = -(-len(names) // PLACEMENT_GROUP_SIZE)
     for number in range(count):
-        yield Cell(f'{model}/{number}', frozenset(names[number::count]))
+        yield PlacementGroup(
+            f'{model}/{number}', frozenset(names[number::count])
+        )
--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -50,7 +50,10 @@
     RoundBegan,
 )
 from cartdale.peers.seal import FRESH_MS, Envelope, Seal
-from cartdale.placement.cells import CELL_SIZE, derive_cells
+from cartdale.placement.groups import (
+    PLACEMENT_GROUP_SIZE,
+    derive_placement_groups,
+)
 from cartdale.retries.decide import (
     EARNED,
     RESERVE,
@@ -217,7 +220,7 @@
     assert after == state
 
 
-def test_cells_are_even_and_bounded() -> None:
+def test_placement_groups_are_even_and_bounded() -> None:
     upstreams = {
         f'e{number:03}': Upstream(UpstreamKind.ENGINE, 'http://x', 'd', 'm', 1)
         for number in range(37)
@@ -225,10 +228,10 @@
     declared = Declarations(
         {'m': Model('1')}, {'d': FailureDomain('r')}, upstreams
     )
-    cells = derive_cells(declared)
-    sizes = sorted(len(cell.upstreams) for cell in cells)
+    groups = derive_placement_groups(declared)
+    sizes = sorted(len(group.upstreams) for group in groups)
     assert sum(sizes) == 37
-    assert sizes[-1] <= CELL_SIZE
+    assert sizes[-1] <= PLACEMENT_GROUP_SIZE
     assert sizes[-1] - sizes[0] <= 1
 
 
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -159,7 +159,7 @@
     assert actions[0].work.work_id == 'b0'
 
 
-def test_work_stays_within_its_cell() -> None:
+def test_work_stays_within_its_placement_group() -> None:
     state = make_routing(memory=100_000, engines=3)
     works = [make_work(f'w{number}', within=('e2',)) for number in range(9)]
     state, actions = arrive(state, *works)
