--- a/src/cartdale/relay/admission.py
+++ b/src/cartdale/relay/admission.py
@@ -61,7 +61,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NoRoom:
+class NoCapacity:
     """A request finds no room in its time.
 
     :param retry_after: when there may be some.
@@ -104,7 +104,7 @@
         #: When the last one comes back that was told so, for rate limits.
         self._returns_by_service: dict[str, Millis] = {}
 
-    async def place(self, waiting: Waiting) -> Upstream | NoRoom:
+    async def place(self, waiting: Waiting) -> Upstream | NoCapacity:
         """Wait for room as long as it is likely to come in time."""
         service = waiting.needs.service
         self._fleet.limits.note_arrival(service)
@@ -152,7 +152,7 @@
 
     async def _wait(
         self, queue: list[Ticket], ticket: Ticket, waiting: Waiting
-    ) -> Upstream | NoRoom:
+    ) -> Upstream | NoCapacity:
         least_chance = _LEAST_CHANCE
         began = self._clock.now()
         while True:
@@ -192,7 +192,7 @@
         forecast: WaitForecast,
         chance: float,
         unavailable_reason: UnavailableReason,
-    ) -> NoRoom:
+    ) -> NoCapacity:
         expected = forecast.expected_wait()
         wait = _UNKNOWN_RETRY if expected is None else expected
         wait += int(wait * _RETRY_SPREAD * self._generator.random())
@@ -212,7 +212,7 @@
             retry_after=retry_after,
             shortage=unavailable_reason,
         )
-        return NoRoom(retry_after)
+        return NoCapacity(retry_after)
 
 
 def _find_unknown_wait(unavailable_reason: UnavailableReason) -> Millis:
--- a/src/cartdale/relay/attempts.py
+++ b/src/cartdale/relay/attempts.py
@@ -14,7 +14,7 @@
 from cartdale.fleet.types import AddressTakenOver, RequestEnded, Upstream
 from cartdale.formatting import list_plain_fields
 from cartdale.problems.types import NotRun
-from cartdale.relay.admission import NoRoom, Waiting
+from cartdale.relay.admission import NoCapacity, Waiting
 from cartdale.relay.decide import (
     Answered,
     AttemptEnd,
@@ -44,7 +44,7 @@
 
 async def place(
     ports: RelayPorts, routed: RoutedRequest, tried: Iterable[str]
-) -> Upstream | NoRoom:
+) -> Upstream | NoCapacity:
     """Wait for an upstream with room, while it is likely to come in time.
 
     All sends but those of a generation that moves begin here, so that none
@@ -62,7 +62,7 @@
         with quarantine.guard(routed.identity):
             return await ports.admission.place(waiting)
         refusal = quarantine.refuse(routed.identity, routed.request.request_id)
-    return NoRoom(refusal.retry_after, refusal.reason)
+    return NoCapacity(refusal.retry_after, refusal.reason)
 
 
 async def find_refusal(
--- a/src/cartdale/relay/plain.py
+++ b/src/cartdale/relay/plain.py
@@ -9,7 +9,7 @@
 from cartdale.fleet.loads import Assignment
 from cartdale.fleet.types import Upstream
 from cartdale.problems.types import NotRunReason, OutcomeUnknown, Problem
-from cartdale.relay.admission import NoRoom
+from cartdale.relay.admission import NoCapacity
 from cartdale.relay.attempts import (
     conclude,
     find_decline,
@@ -78,7 +78,7 @@
     async def _try_upstreams(self) -> Result[CompleteResponse, Problem]:
         while True:
             upstream = await place(self._ports, self._routed, self._tried)
-            if isinstance(upstream, NoRoom):
+            if isinstance(upstream, NoCapacity):
                 wait = upstream.retry_after
                 return Failure(refuse(self._state, upstream.reason, wait))
             name = upstream.entry.upstream
--- a/src/cartdale/relay/stream.py
+++ b/src/cartdale/relay/stream.py
@@ -11,7 +11,7 @@
 from cartdale.fleet.types import RequestEnded, Upstream, UpstreamEntry
 from cartdale.problems.types import NotRunReason, OutcomeUnknown, Problem
 from cartdale.quarantine.driver import Guard
-from cartdale.relay.admission import NoRoom
+from cartdale.relay.admission import NoCapacity
 from cartdale.relay.attempts import (
     conclude,
     find_decline,
@@ -132,7 +132,7 @@
         tried: set[str] = set()
         while True:
             upstream = await place(self._ports, self._routed, tried)
-            if isinstance(upstream, NoRoom):
+            if isinstance(upstream, NoCapacity):
                 wait = upstream.retry_after
                 refused = refuse(self._attempts, upstream.reason, wait)
                 return self._give_up(refused)
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -41,7 +41,7 @@
     TakeEvacuations,
 )
 from cartdale.platform.translate import translate
-from cartdale.relay.admission import Admission, NoRoom, Waiting
+from cartdale.relay.admission import Admission, NoCapacity, Waiting
 from cartdale.relay.targets import choose_backup, choose_target
 from cartdale.routes.types import RoutingTable
 from cartdale.store.types import Entry, Listing
@@ -202,7 +202,7 @@
     began = clock.now()
     waiting = Waiting('r', NEED, 0, began, began + 2000)
     refused = await admission.place(waiting)
-    assert isinstance(refused, NoRoom)
+    assert isinstance(refused, NoCapacity)
     assert refused.retry_after > 0
     assert clock.now() == began
 
--- a/tests/test_limited_admission.py
+++ b/tests/test_limited_admission.py
@@ -9,7 +9,7 @@
 from cartdale.fleet.limit_gate import LimitParticipants
 from cartdale.fleet.rate_limits import RateLimit
 from cartdale.fleet.types import EntryWritten, LimitAdvertised, RequestEnded
-from cartdale.relay.admission import Admission, NoRoom, Waiting
+from cartdale.relay.admission import Admission, NoCapacity, Waiting
 from tests.test_fleet import make_entry
 
 NEED = RequestNeeds('s')
@@ -40,18 +40,18 @@
 
 async def place_many(
     fleet: Fleet, count: int, patience: Millis
-) -> tuple[list[Millis], list[NoRoom]]:
+) -> tuple[list[Millis], list[NoCapacity]]:
     """Place requests at one moment; return the waits and the refusals."""
     clock = SystemClock()
     admission = Admission(fleet, clock, 1)
     waits: list[Millis] = []
-    refusals: list[NoRoom] = []
+    refusals: list[NoCapacity] = []
 
     async def place(number: int) -> None:
         now = clock.now()
         waiting = Waiting(f'r{number}', NEED, 0, now, now + patience)
         placed = await admission.place(waiting)
-        if isinstance(placed, NoRoom):
+        if isinstance(placed, NoCapacity):
             refusals.append(placed)
         else:
             spend(fleet, placed.entry.upstream)
--- a/tests/test_outlook.py
+++ b/tests/test_outlook.py
@@ -10,7 +10,7 @@
 from cartdale.fleet.loads import Load
 from cartdale.fleet.types import EntriesListed
 from cartdale.fleet.wait_forecast import WaitForecast, forecast_wait
-from cartdale.relay.admission import Admission, NoRoom, Waiting
+from cartdale.relay.admission import Admission, NoCapacity, Waiting
 from cartdale.routes.types import RoutingTable
 from tests.test_fleet import SPEC, make_entry, make_fleet
 
@@ -96,7 +96,7 @@
     admission = Admission(make_full_fleet(clock), clock, 1)
     before = clock.now()
     refused = await admission.place(make_waiting(clock, 100))
-    assert isinstance(refused, NoRoom)
+    assert isinstance(refused, NoCapacity)
     assert clock.now() == before
     assert 225 <= refused.retry_after <= 338
 
@@ -159,5 +159,5 @@
 
         nursery.start_soon(grow)
         refused = await admission.place(make_waiting(clock, 1500))
-    assert isinstance(refused, NoRoom)
+    assert isinstance(refused, NoCapacity)
     assert clock.now() - began < 500
--- a/tests/test_rests.py
+++ b/tests/test_rests.py
@@ -33,7 +33,7 @@
     RequestEnded,
 )
 from cartdale.platform.upstreams import PlatformUpstreams
-from cartdale.relay.admission import Admission, NoRoom, Waiting
+from cartdale.relay.admission import Admission, NoCapacity, Waiting
 from cartdale.relay.types import SendWithheld
 from cartdale_standins.platform_engine import PlatformEngine
 from tests.platform_stage import (
@@ -269,7 +269,7 @@
     for number in range(50):
         waiting = Waiting(f'r{number}', RequestNeeds('s'), 0, now, now + 2000)
         refused = await admission.place(waiting)
-        assert isinstance(refused, NoRoom)
+        assert isinstance(refused, NoCapacity)
         waits.append(refused.retry_after)
     assert clock.now() - now < 1000
     assert min(waits) >= 59_000
