--- a/src/cartdale/callers/respond.py
+++ b/src/cartdale/callers/respond.py
@@ -9,7 +9,7 @@
 from cartdale.clock import SECOND_MS, Clock
 from cartdale.codec import encode_json
 from cartdale.problems.types import Problem, ProblemDocument, describe
-from cartdale.streams.answers import Batch, Broken, Chunk, Whole
+from cartdale.streams.answers import Batch, Broken, Chunk, Completed
 from cartdale.streams.chunks import decode_chunk, read_text
 from cartdale.streams.driver import Delivery
 
@@ -104,7 +104,7 @@
     finally:
         delivery.close()
     match batch:
-        case Whole():
+        case Completed():
             yield _END
         case Broken(problem=problem):
             yield _format_problem(describe(problem))
--- a/src/cartdale/streams/answers.py
+++ b/src/cartdale/streams/answers.py
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Whole:
+class Completed:
     """The answer is complete."""
 
 
@@ -48,15 +48,15 @@
     problem: Problem
 
 
-Batch = tuple[Chunk, ...] | Whole | Broken
+Batch = tuple[Chunk, ...] | Completed | Broken
 
 
-def choose_outcome(last: Whole | Broken | None) -> Outcome:
+def choose_outcome(last: Completed | Broken | None) -> Outcome:
     """Return how an answer ended, for the measures."""
     match last:
         case None:
             return Outcome.LEFT
-        case Whole():
+        case Completed():
             return Outcome.WHOLE
         case Broken(problem=EndedEarly()):
             return Outcome.EARLY
--- a/src/cartdale/streams/driver.py
+++ b/src/cartdale/streams/driver.py
@@ -25,8 +25,8 @@
     Batch,
     Broken,
     Chunk,
+    Completed,
     DeliveryRequest,
-    Whole,
     choose_outcome,
 )
 from cartdale.streams.chunks import read_text
@@ -81,7 +81,7 @@
         self.asked = asked
         self._link = Link()
         self._ready: list[Chunk] = []
-        self._last: Whole | Broken | None = None
+        self._last: Completed | Broken | None = None
         self._watch = RequestWatch(
             ports.quarantine, asked.identity, asked.generation.generation
         )
@@ -152,7 +152,7 @@
         measured = self._meter.finish(choose_outcome(self._last))
         self._ports.recorder.record(measured)
         if self.state.phase is Phase.ENDED or not self.state.upstream:
-            self._settle(finished=isinstance(self._last, Whole))
+            self._settle(finished=isinstance(self._last, Completed))
             return
         self._ports.nursery.start_soon(self._cancel_later, self.state)
 
@@ -264,7 +264,7 @@
                 await self._restart()
             case Finish():
                 self._watch.note_ran_on()
-                self._last = Whole()
+                self._last = Completed()
             case Fail(problem=problem):
                 backoff = self._ports.backoffs.remaining(self.state.upstream)
                 self._last = Broken(_outlast(problem, backoff))
