--- a/bench/simulate.py
+++ b/bench/simulate.py
@@ -32,7 +32,7 @@
     WorkArrived,
     WorkEnded,
 )
-from cartdale.streams.decide import PROTECT_AT, count_steps
+from cartdale.streams.decide import PRIORITY_STEP_TOKENS, count_priority_steps
 
 ENTRIES = 8
 DURATION: Millis = 60 * SECOND_MS
@@ -285,8 +285,8 @@
         if self._scenario.contender.policy is not PolicyName.MEMORY_AWARE:
             return
         produced = self._owners[work_id].produced
-        if produced in PROTECT_AT:
-            engine.model.set_priority(work_id, count_steps(produced))
+        if produced in PRIORITY_STEP_TOKENS:
+            engine.model.set_priority(work_id, count_priority_steps(produced))
 
     def _produce(self, generation: Generation, at: float) -> None:
         generation.produced += 1
--- a/src/cartdale/streams/decide.py
+++ b/src/cartdale/streams/decide.py
@@ -48,7 +48,7 @@
 )
 
 #: Tokens after which a generation's priority is raised a step.
-PROTECT_AT = (64, 256, 1024, 4096)
+PRIORITY_STEP_TOKENS = (64, 256, 1024, 4096)
 #: Times a request is run again before it is given up.
 MAX_REPEATS = 3
 _RETRY_AFTER: Millis = 2 * SECOND_MS
@@ -131,13 +131,13 @@
     )
 
 
-def count_steps(produced: int) -> int:
+def count_priority_steps(produced: int) -> int:
     """Return the steps of priority that long running has earned.
 
     What has run long is expensive to push aside and, by the lengths seen,
     likely to run on; the engine then preempts what has just begun.
     """
-    return bisect_right(PROTECT_AT, produced)
+    return bisect_right(PRIORITY_STEP_TOKENS, produced)
 
 
 def soften(state: StreamState, problem: Problem) -> Problem:
@@ -178,8 +178,8 @@
         holds=chunk.offset == state.delivered + 1,
         detail=f'token {chunk.offset} after {state.delivered}',
     )
-    steps = count_steps(chunk.offset)
-    if steps > count_steps(state.delivered):
+    steps = count_priority_steps(chunk.offset)
+    if steps > count_priority_steps(state.delivered):
         return after, (_DELIVER, Protect(steps))
     return after, (_DELIVER,)
 
