--- a/src/cartdale/gateway/exchange.py
+++ b/src/cartdale/gateway/exchange.py
@@ -16,8 +16,8 @@
 from cartdale.problems.types import NotRun, NotRunReason, Problem, describe
 from cartdale.quarantine.identity import identify
 from cartdale.relay.generation import RunningGeneration
-from cartdale.relay.plain import PlainCarrier
-from cartdale.relay.stream import StreamCarrier, StreamEnd
+from cartdale.relay.plain import PlainForwarder
+from cartdale.relay.stream import StreamEnd, StreamForwarder
 from cartdale.relay.types import RoutedRequest
 from cartdale.routes.match import (
     find_regions,
@@ -171,8 +171,8 @@
         if routed.route.kind is RouteKind.STREAM:
             await self._carry_stream(routed)
             return
-        carrier = PlainCarrier(self._ports.relay, routed)
-        match await carrier.carry():
+        forwarder = PlainForwarder(self._ports.relay, routed)
+        match await forwarder.forward():
             case Success(whole):
                 self._ports.metrics.note_answer(routed.route, whole.status)
                 await self._sink.answer(whole.status, whole.headers, whole.body)
@@ -185,15 +185,15 @@
         engine = spec.engine if spec else None
         event_tokens = engine.event_tokens if engine else 1
         generation = RunningGeneration(relay, routed, event_tokens)
-        carrier = StreamCarrier(relay, routed, self._sink, generation)
+        forwarder = StreamForwarder(relay, routed, self._sink, generation)
         self._ports.mover.add(generation)
         try:
-            outcome = await carrier.carry()
+            outcome = await forwarder.forward()
         finally:
             self._ports.mover.remove(generation)
         match outcome:
             case Success(end):
-                self._note_stream(end, generation, carrier.longest_gap)
+                self._note_stream(end, generation, forwarder.longest_gap)
             case Failure(problem):
                 await self._refuse(problem)
 
--- a/src/cartdale/relay/plain.py
+++ b/src/cartdale/relay/plain.py
@@ -54,7 +54,7 @@
 Ended = tuple[AttemptEnd, CompleteResponse | None]
 
 
-class PlainCarrier:
+class PlainForwarder:
     """Carry one request.
 
     :param routed: the request and what is known of it.
@@ -67,7 +67,7 @@
         self._link = CarriedLink(ports, routed)
         self._state: AttemptState = begin(routed.route)
 
-    async def carry(self) -> Result[CompleteResponse, Problem]:
+    async def forward(self) -> Result[CompleteResponse, Problem]:
         """Return an upstream's answer, or why there is none."""
         self._ports.budget.count(self._routed.service, self._ports.clock.now())
         left = time_left(self._ports, self._routed)
--- a/src/cartdale/relay/stream.py
+++ b/src/cartdale/relay/stream.py
@@ -72,7 +72,7 @@
 LinkEnd = StreamEnd | AttemptEnd | UpstreamEntry
 
 
-class StreamCarrier:
+class StreamForwarder:
     """Carry one generation.
 
     :param sink: where the answer is written.
@@ -117,7 +117,7 @@
         """Return the longest pause between two events."""
         return self._passer.longest_gap
 
-    async def carry(self) -> Result[StreamEnd, Problem]:
+    async def forward(self) -> Result[StreamEnd, Problem]:
         """Stream the answer, or return why nothing was streamed."""
         self._ports.budget.count(self._routed.service, self._ports.clock.now())
         left = time_left(self._ports, self._routed)
--- a/tests/fault_soak/mutants.py
+++ b/tests/fault_soak/mutants.py
@@ -170,7 +170,7 @@
 
 def end_as_whole() -> None:
     """End a stream as whole though its engine broke it off."""
-    honest = stream.StreamCarrier._lose_link
+    honest = stream.StreamForwarder._lose_link
 
     async def lose_link(self, detail):
         ended = await honest(self, detail)
@@ -179,7 +179,7 @@
             return stream.StreamEnd.WHOLE
         return ended
 
-    stream.StreamCarrier._lose_link = lose_link
+    stream.StreamForwarder._lose_link = lose_link
 
 
 def start_over() -> None:
--- a/tests/test_silent_links.py
+++ b/tests/test_silent_links.py
@@ -14,7 +14,7 @@
 from cartdale.relay.crash_probes import CrashProber
 from cartdale.relay.decide import Broken
 from cartdale.relay.ports import RelayPorts
-from cartdale.relay.stream import StreamCarrier, StreamEnd
+from cartdale.relay.stream import StreamEnd, StreamForwarder
 from cartdale.relay.types import (
     CallerRequest,
     ExecutionStatus,
@@ -69,7 +69,7 @@
         return ELSEWHERE
 
 
-def make_carrier(sink: SlowSink, generation: BackedUp) -> StreamCarrier:
+def make_forwarder(sink: SlowSink, generation: BackedUp) -> StreamForwarder:
     clock = SystemClock()
     fleet = Fleet(clock, 'west', 1)
     ports = RelayPorts(
@@ -84,7 +84,7 @@
     request = CallerRequest('r', 'POST', 'h', b'/', '', 0, ())
     route = Route('d', 'h', '/', RouteKind.STREAM, 9000, 2000, ())
     routed = RoutedRequest(request, route, 's', '', 0, 0, 9000)
-    return StreamCarrier(ports, routed, sink, generation)
+    return StreamForwarder(ports, routed, sink, generation)
 
 
 def make_answer(chunks: AsyncIterator[bytes]) -> OpenedResponse:
@@ -105,8 +105,8 @@
     # The clock of tests begins at 0, which stands for never.
     await trio.sleep(1)
     sink, generation = SlowSink(), BackedUp()
-    carrier = make_carrier(sink, generation)
-    ended = await carrier._pass_events(make_answer(come_late()))
+    forwarder = make_forwarder(sink, generation)
+    ended = await forwarder._pass_events(make_answer(come_late()))
     assert ended == ELSEWHERE
     assert sink.written == [b'id: 1\n\n', b'id: 2\n\n']
     assert generation.events == 2
@@ -124,10 +124,10 @@
     # The clock of tests begins at 0, which stands for never.
     await trio.sleep(1)
     sink, generation = SlowSink(), BackedUp()
-    carrier = make_carrier(sink, generation)
-    await carrier._pass_events(make_answer(come(5)))
+    forwarder = make_forwarder(sink, generation)
+    await forwarder._pass_events(make_answer(come(5)))
     assert generation.left == 1
-    await carrier._pass_events(make_answer(follow()))
+    await forwarder._pass_events(make_answer(follow()))
     assert generation.left == 1
     assert len(sink.written) == 2
 
@@ -142,9 +142,9 @@
 
     await trio.sleep(1)
     sink, generation = SlowSink(), BackedUp()
-    carrier = make_carrier(sink, generation)
+    forwarder = make_forwarder(sink, generation)
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(carrier._pass_events, make_answer(come()))
+        nursery.start_soon(forwarder._pass_events, make_answer(come()))
         await trio.sleep(0.2)
         autojump_clock.jump(3)
     assert not generation.left
@@ -168,15 +168,15 @@
         self.left += 1
 
 
-def make_forgotten(sink: SlowSink, generation: Ended) -> StreamCarrier:
-    carrier = make_carrier(sink, generation)
-    carrier._ports.fleet.dispatch(
+def make_forgotten(sink: SlowSink, generation: Ended) -> StreamForwarder:
+    forwarder = make_forwarder(sink, generation)
+    forwarder._ports.fleet.dispatch(
         EntryWritten(replace(ELSEWHERE, upstream='a'))
     )
-    ports = replace(carrier._ports, upstreams=Forgetful())
-    carrier._ports = ports
-    carrier._passer._ports = ports
-    return carrier
+    ports = replace(forwarder._ports, upstreams=Forgetful())
+    forwarder._ports = ports
+    forwarder._passer._ports = ports
+    return forwarder
 
 
 async def test_caller_who_reads_slowly_gets_what_the_engine_has_ended(
@@ -189,8 +189,8 @@
     await trio.sleep(1)
     # Longer than two reports that don't know the generation.
     sink, generation = SlowSink(takes=2.5), Ended()
-    carrier = make_forgotten(sink, generation)
-    ended = await carrier._pass_events(make_answer(come()))
+    forwarder = make_forgotten(sink, generation)
+    ended = await forwarder._pass_events(make_answer(come()))
     assert ended == StreamEnd.WHOLE
     assert len(sink.written) == 8
     assert not generation.left
@@ -205,8 +205,8 @@
 
     await trio.sleep(1)
     sink, generation = SlowSink(), Ended()
-    carrier = make_forgotten(sink, generation)
+    forwarder = make_forgotten(sink, generation)
     with trio.fail_after(5):
-        ended = await carrier._pass_events(make_answer(come()))
+        ended = await forwarder._pass_events(make_answer(come()))
     assert isinstance(ended, Broken)
     assert generation.left
