--- a/bench/news.py
+++ b/bench/news.py
@@ -16,14 +16,14 @@
 from cartdale.news.datagrams import SocketDatagrams
 from cartdale.news.driver import NewsExchange
 from cartdale.news.types import LoadNews, PeerEntry
-from cartdale.peers.seal import Envelope, Seal
+from cartdale.peers.authentication import Authenticator, Envelope
 
 _ROUNDS = 5000
 _ENGINES = 3
 _MICROSECONDS = 1_000_000
 
 
-def make_message(seal: Seal, number: int, wall: int) -> bytes:
+def make_message(authenticator: Authenticator, number: int, wall: int) -> bytes:
     """Return one sealed message with the load at a few engines."""
     loads_by_upstream = {
         f'i-{engine:010x}': Load(2, 7000, 500, 3000)
@@ -32,24 +32,25 @@
     peer = PeerEntry('front-westlands-2', '127.0.0.1', 1)
     news = LoadNews(1, number, 0, peer, loads_by_upstream)
     body = msgspec.Raw(encode_binary(news))
-    return seal.close(Envelope(peer.name, '*', 'LoadNews', wall, body))
+    return authenticator.sign(Envelope(peer.name, '*', 'LoadNews', wall, body))
 
 
 async def measure() -> dict[str, float]:
     """Return microseconds of processor time for each part."""
     clock = SystemClock()
-    seal = Seal((b'k' * 32,))
+    authenticator = Authenticator((b'k' * 32,))
     fleet = Fleet(clock, 'west', 1)
     own = PeerEntry('front-westlands-1', '127.0.0.1', 1)
     datagrams = SocketDatagrams(socket.socket(type=socket.SOCK_DGRAM))
     exchange = NewsExchange(own, fleet, clock, print, bool, datagrams)
-    exchange.seal = seal
+    exchange.authenticator = authenticator
     began = time.process_time()
-    sealed = [
-        make_message(seal, number, clock.wall()) for number in range(_ROUNDS)
+    signed = [
+        make_message(authenticator, number, clock.wall())
+        for number in range(_ROUNDS)
     ]
     made = time.process_time()
-    for raw in sealed:
+    for raw in signed:
         exchange._take(raw)  # noqa: SLF001
     taken = time.process_time()
     receiver = trio.socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -58,11 +59,11 @@
     address = receiver.getsockname()
     prepared = time.process_time()
     for _ in range(_ROUNDS):
-        await sender.sendto(sealed[0], address)
+        await sender.sendto(signed[0], address)
     sent = time.process_time()
     scale = _MICROSECONDS / _ROUNDS
     return {
-        'bytes': len(sealed[0]),
+        'bytes': len(signed[0]),
         'make and seal': (made - began) * scale,
         'open and take': (taken - made) * scale,
         'send to one peer': (sent - prepared) * scale,
--- a/bench/scale.py
+++ b/bench/scale.py
@@ -50,13 +50,13 @@
 )
 from cartdale.model.types import LoadReport
 from cartdale.peers.app import PeerApp
+from cartdale.peers.authentication import Authenticator
 from cartdale.peers.client import PeerClient
 from cartdale.peers.messages import (
     SHAPES_BY_KIND,
     Exchange,
     PeerMessage,
 )
-from cartdale.peers.seal import Seal
 from cartdale.placement.types import PlaceAnswer, PlaceRequest
 from cartdale.routing.decide import decide as decide_routing
 from cartdale.routing.types import (
@@ -152,7 +152,7 @@
 def count_exchange_bytes(count: int) -> float:
     """Bytes of one exchange's message, sealed."""
     news = select_news(make_members(count))
-    return float(len(_seal_client().close('entry-0001', Exchange(news))))
+    return float(len(_seal_client().sign_message('entry-0001', Exchange(news))))
 
 
 def time_ranking(count: int) -> float:
@@ -271,7 +271,7 @@
     return PeerClient(
         httpcore.AsyncConnectionPool(),
         'entry-0000',
-        Seal((b'k' * 32,)),
+        Authenticator((b'k' * 32,)),
         SystemClock(),
         1,
     )
@@ -285,9 +285,9 @@
         return answer
 
     async with httpcore.AsyncConnectionPool() as client:
-        seal = Seal((b'k' * 32,))
-        asking = PeerClient(client, 'entry-0000', seal, clock, 2000)
-        serving = PeerClient(client, 'entry-0001', seal, clock, 2000)
+        authenticator = Authenticator((b'k' * 32,))
+        asking = PeerClient(client, 'entry-0000', authenticator, clock, 2000)
+        serving = PeerClient(client, 'entry-0001', authenticator, clock, 2000)
         app = PeerApp('entry-0001', serving, clock, serve, SHAPES_BY_KIND)
         bound = BoundListener(Listener('127.0.0.1', 0))
         address = f'http://127.0.0.1:{bound.port}'
@@ -338,7 +338,7 @@
         'claim': Claim('c' * 60, 'a' * 16, 'b' * 16, 10**12, once=True),
     }
     sizes = {
-        name: len(client.close('entry-0001', message))
+        name: len(client.sign_message('entry-0001', message))
         for name, message in named.items()
     }
     sizes['news_of_one_member'] = len(encode_binary(make_news(300)))
--- a/src/cartdale/briefing/app.py
+++ b/src/cartdale/briefing/app.py
@@ -26,8 +26,8 @@
 from cartdale.briefing.types import Briefing
 from cartdale.clock import Clock
 from cartdale.codec import decode_binary
+from cartdale.peers.authentication import Authenticator, wrap
 from cartdale.peers.documents import Document, decode_document
-from cartdale.peers.seal import Seal, wrap
 
 PATH: Final = '/briefing/v1'
 #: Shortest key that an answer is sealed with.
@@ -72,8 +72,8 @@
         # Whoever has the key is meant: the asker has no name here yet.
         briefing = self._describe(_list_accepted(scope))
         envelope = wrap(self._name, '', briefing, wall)
-        sealed = Seal((key,)).close(envelope)
-        await answer_at_once(send, HTTPStatus.OK, BINARY_HEADERS, sealed)
+        signed = Authenticator((key,)).sign(envelope)
+        await answer_at_once(send, HTTPStatus.OK, BINARY_HEADERS, signed)
 
 
 def open_briefing(raw: bytes, key: bytes, now_wall: int) -> Briefing | None:
@@ -82,7 +82,7 @@
     :param key: what the question carried.
     :returns: a briefing with the document as it is stored.
     """
-    envelope = Seal((key,)).open(raw, now_wall)
+    envelope = Authenticator((key,)).verify(raw, now_wall)
     if envelope is None or envelope.kind != Briefing.__name__:
         return None
     try:
--- a/src/cartdale/daemon/group.py
+++ b/src/cartdale/daemon/group.py
@@ -15,10 +15,10 @@
 from cartdale.membership.driver import Membership, MembershipPorts
 from cartdale.membership.types import MemberNews, MemberStatus
 from cartdale.peers.app import PeerApp
+from cartdale.peers.authentication import Authenticator
 from cartdale.peers.client import PeerClient
 from cartdale.peers.messages import SHAPES_BY_KIND
 from cartdale.peers.pool import make_peer_pool
-from cartdale.peers.seal import Seal
 from cartdale.placement.driver import PlacementPorts, Placer
 from cartdale.quarantine.driver import Quarantine
 from cartdale.reports.recorder import Recorder
@@ -60,7 +60,7 @@
         self.peers = PeerClient(
             pool_of_peers,
             settings.name,
-            Seal(keys.cluster),
+            Authenticator(keys.cluster),
             clock,
             _PEER_TIMEOUT,
         )
@@ -128,7 +128,7 @@
 
     def set_keys(self, keys: Keys) -> None:
         """Take rotated cluster keys."""
-        self.peers.seal = Seal(keys.cluster)
+        self.peers.authenticator = Authenticator(keys.cluster)
 
     def decides_for(self, upstream: str) -> bool:
         """Tell whether this instance is the placer of an engine."""
--- a/src/cartdale/daemon/peer_links.py
+++ b/src/cartdale/daemon/peer_links.py
@@ -16,10 +16,10 @@
 from cartdale.news.ports import Datagrams
 from cartdale.news.types import PeerEntry
 from cartdale.peers.app import PeerApp
+from cartdale.peers.authentication import Authenticator
 from cartdale.peers.client import PeerClient, PeerFailure
 from cartdale.peers.documents import ENCODINGS, Document, FetchDocument
 from cartdale.peers.pool import make_peer_pool
-from cartdale.peers.seal import Seal
 from cartdale.settings.types import Listener
 
 #: Longest wait for an answer of a peer.
@@ -46,7 +46,7 @@
     def datagrams(self) -> Datagrams:
         """Return what carries news."""
 
-    def seal_with(self, seal: Seal) -> None:
+    def set_authenticator(self, authenticator: Authenticator) -> None:
         """Seal calls from now on."""
 
     async def serve(self, answer: Serve, stopping: trio.Event) -> None:
@@ -82,14 +82,14 @@
         self._client = PeerClient(
             make_peer_pool(None),
             name,
-            Seal((secrets.token_bytes(_KEY_BYTES),)),
+            Authenticator((secrets.token_bytes(_KEY_BYTES),)),
             clock,
             PEER_TIMEOUT,
         )
 
-    def seal_with(self, seal: Seal) -> None:
+    def set_authenticator(self, authenticator: Authenticator) -> None:
         """Seal calls from now on."""
-        self._client.seal = seal
+        self._client.authenticator = authenticator
 
     async def serve(self, answer: Serve, stopping: trio.Event) -> None:
         """Answer the calls of others until told to stop."""
--- a/src/cartdale/daemon/peers.py
+++ b/src/cartdale/daemon/peers.py
@@ -23,13 +23,13 @@
 from cartdale.news.driver import NewsExchange
 from cartdale.news.roster import KEY_NAME, PEER_PREFIX, Roster
 from cartdale.news.types import PeerEntry, PeerListed, PeerRemoved
+from cartdale.peers.authentication import Authenticator
 from cartdale.peers.documents import (
     DocumentEncoder,
     FetchDocument,
     Unserved,
     decode_document,
 )
-from cartdale.peers.seal import Seal
 from cartdale.platform.translate import read_table
 from cartdale.quarantine.lasting import LastingQuarantine
 from cartdale.store.types import LeasedStore
@@ -134,8 +134,8 @@
     def take_key(self, key: bytes) -> None:
         """Seal news with the cluster's key, and open those of others."""
         self.key = key
-        self.news.seal = Seal((key,))
-        self._links.seal_with(self.news.seal)
+        self.news.authenticator = Authenticator((key,))
+        self._links.set_authenticator(self.news.authenticator)
 
     def list_known(self) -> tuple[PeerEntry, ...]:
         """Return the instances that are listed or were heard of, and this."""
@@ -196,7 +196,7 @@
 
     async def _agree_on_key(self) -> None:
         """Propose a key for the cluster until one is known."""
-        while self.news.seal is None:
+        while self.news.authenticator is None:
             key = await self._roster.propose_key()
             if key:
                 self.take_key(key)
--- a/src/cartdale/news/driver.py
+++ b/src/cartdale/news/driver.py
@@ -52,7 +52,7 @@
     TakeLoads,
 )
 from cartdale.news.writing import DOMAIN_KIND, NEWS_KIND, NewsWriter
-from cartdale.peers.seal import Envelope, Seal
+from cartdale.peers.authentication import Authenticator, Envelope
 from cartdale.quarantine.types import CrashesTold
 from cartdale.switches import Mechanism
 
@@ -99,7 +99,7 @@
             self, self._writer, fleet, clock, store_lost
         )
         self.state = NewsState()
-        self.seal: Seal | None = None
+        self.authenticator: Authenticator | None = None
 
     @property
     def own(self) -> PeerEntry:
@@ -183,10 +183,10 @@
         """Return the peers to which this instance tells its news."""
         return list_audience(self.state, self._own, self._clock.now())
 
-    def send_to(self, sealed: bytes, peer: PeerEntry) -> None:
+    def send_to(self, signed: bytes, peer: PeerEntry) -> None:
         """Send a message to a peer; it may be lost."""
         try:
-            self._datagrams.send(sealed, peer)
+            self._datagrams.send(signed, peer)
         except OSError as error:
             # A full buffer included: the next message is not far.
             logger.info(
@@ -232,9 +232,9 @@
             self._take(raw)
 
     def _take(self, raw: bytes) -> None:
-        if self.seal is None:
+        if self.authenticator is None:
             return
-        envelope = self.seal.open(raw, self._clock.wall())
+        envelope = self.authenticator.verify(raw, self._clock.wall())
         if envelope is None:
             return
         try:
@@ -255,11 +255,11 @@
             factor = stretch(len(self.list_audience()))
             await trio.sleep(seconds(_CHANGED_EVERY * factor))
             await self._wait_for_news(_UNCHANGED_EVERY * factor)
-            if self.seal is None:
+            if self.authenticator is None:
                 continue
-            sealed = self._writer.write(self.seal)
+            signed = self._writer.write(self.authenticator)
             for peer in self.list_audience():
-                self.send_to(sealed, peer)
+                self.send_to(signed, peer)
 
     async def _wait_for_news(self, longest: Millis) -> None:
         with trio.move_on_after(seconds(longest)):
--- a/src/cartdale/news/speaking.py
+++ b/src/cartdale/news/speaking.py
@@ -13,7 +13,7 @@
 from cartdale.news.limits import add_offers, merge_limit_news
 from cartdale.news.types import DomainNews, Heard, NewsState, PeerEntry
 from cartdale.news.writing import NewsWriter
-from cartdale.peers.seal import Seal
+from cartdale.peers.authentication import Authenticator
 
 #: Between two messages at the least, however urgent.
 _URGENT_EVERY: Millis = 20
@@ -28,7 +28,7 @@
     """Tell what was heard, and send."""
 
     state: NewsState
-    seal: Seal | None
+    authenticator: Authenticator | None
 
     @property
     def own(self) -> PeerEntry:
@@ -37,7 +37,7 @@
     def list_audience(self) -> list[PeerEntry]:
         """Return the peers to which this instance tells its news."""
 
-    def send_to(self, sealed: bytes, peer: PeerEntry) -> None:
+    def send_to(self, signed: bytes, peer: PeerEntry) -> None:
         """Send a message to a peer; it may be lost."""
 
 
@@ -73,7 +73,7 @@
         while True:
             await self._pause()
             now = self._clock.now()
-            if self._news.seal is None or not is_domain_speaker(
+            if self._news.authenticator is None or not is_domain_speaker(
                 self._news.state, self._news.own, now
             ):
                 continue
@@ -87,10 +87,10 @@
             for peer in choose_recipients(
                 self._news.state, self._news.own, now, turn
             ):
-                sealed = self._writer.close_domain(
-                    self._news.seal, news, peer.name
+                signed = self._writer.sign_domain_news(
+                    self._news.authenticator, news, peer.name
                 )
-                self._news.send_to(sealed, peer)
+                self._news.send_to(signed, peer)
 
     def _add_aged(self, news: DomainNews, now: Millis) -> DomainNews:
         """Add what has an age, which changes always."""
--- a/src/cartdale/news/writing.py
+++ b/src/cartdale/news/writing.py
@@ -12,7 +12,7 @@
 from cartdale.fleet.types import Lifecycle, UpstreamEntry
 from cartdale.news.limits import write_limit
 from cartdale.news.types import DomainNews, LimitNews, LoadNews, PeerEntry
-from cartdale.peers.seal import Envelope, Seal
+from cartdale.peers.authentication import Authenticator, Envelope
 
 NEWS_KIND = LoadNews.__name__
 DOMAIN_KIND = DomainNews.__name__
@@ -66,7 +66,7 @@
         """Tell whether there is something that was not written yet."""
         return self._told != self._newest()
 
-    def write(self, seal: Seal) -> bytes:
+    def write(self, authenticator: Authenticator) -> bytes:
         """Return the next message, sealed."""
         self._number += 1
         self._told = self._newest()
@@ -88,7 +88,9 @@
             limits=self.list_limits(),
             offers=self._fleet.limits.measure_demand(),
         )
-        return self._close(seal, _EVERYBODY, NEWS_KIND, encode_binary(news))
+        return self._sign(
+            authenticator, _EVERYBODY, NEWS_KIND, encode_binary(news)
+        )
 
     def list_unreachable(self) -> tuple[str, ...]:
         """Return the upstreams that this instance could not reach of late."""
@@ -146,18 +148,22 @@
             if name in upstreams_by_id
         }
 
-    def close_domain(
-        self, seal: Seal, news: DomainNews, recipient: str
+    def sign_domain_news(
+        self, authenticator: Authenticator, news: DomainNews, recipient: str
     ) -> bytes:
         """Return news of this failure domain, sealed for an instance."""
         self._number += 1
         numbered = replace(news, number=self._number)
-        return self._close(
-            seal, recipient, DOMAIN_KIND, encode_binary(numbered)
+        return self._sign(
+            authenticator, recipient, DOMAIN_KIND, encode_binary(numbered)
         )
 
-    def _close(
-        self, seal: Seal, recipient: str, kind: str, body: bytes
+    def _sign(
+        self,
+        authenticator: Authenticator,
+        recipient: str,
+        kind: str,
+        body: bytes,
     ) -> bytes:
         envelope = Envelope(
             sender=self._own.name,
@@ -166,7 +172,7 @@
             wall_ms=self._clock.wall(),
             body=msgspec.Raw(body),
         )
-        return seal.close(envelope)
+        return authenticator.sign(envelope)
 
     def _newest(self) -> _Content:
         return _Content(
--- a/src/cartdale/peers/app.py
+++ b/src/cartdale/peers/app.py
@@ -21,8 +21,8 @@
 )
 from cartdale.clock import Clock
 from cartdale.codec import decode_binary
+from cartdale.peers.authentication import Envelope
 from cartdale.peers.client import PATH, PeerClient
-from cartdale.peers.seal import Envelope
 
 BODY_LIMIT = 4194304
 
@@ -61,14 +61,14 @@
         if scope['path'] != PATH:
             await answer_at_once(send, HTTPStatus.NOT_FOUND)
             return
-        sealed = await read_body(receive, BODY_LIMIT)
-        if sealed is None:
+        signed = await read_body(receive, BODY_LIMIT)
+        if signed is None:
             await answer_at_once(send, HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
             return
-        await self._take(sealed, send)
+        await self._take(signed, send)
 
-    async def _take(self, sealed: bytes, send: Send) -> None:
-        envelope = self._client.seal.open(sealed, self._clock.wall())
+    async def _take(self, signed: bytes, send: Send) -> None:
+        envelope = self._client.authenticator.verify(signed, self._clock.wall())
         if envelope is None or envelope.recipient != self._name:
             self.refused += 1
             await answer_at_once(send, HTTPStatus.FORBIDDEN)
@@ -78,7 +78,7 @@
             await answer_at_once(send, HTTPStatus.BAD_REQUEST)
             return
         reply = await self._serve(message)
-        answer = self._client.close(envelope.sender, reply)
+        answer = self._client.sign_message(envelope.sender, reply)
         await answer_at_once(send, HTTPStatus.OK, BINARY_HEADERS, answer)
 
     def _decode(self, envelope: Envelope) -> object | None:
--- a/src/cartdale/peers/seal.py
+++ b/src/cartdale/peers/authentication.py
@@ -43,7 +43,7 @@
     )
 
 
-class Seal:
+class Authenticator:
     """Seal and open envelopes.
 
     :param keys: accepted keys, the newest first; it seals.
@@ -52,14 +52,14 @@
     def __init__(self, keys: tuple[bytes, ...]) -> None:
         self._keys = tuple(key[:_KEY_BYTES] for key in keys)
 
-    def close(self, envelope: Envelope) -> bytes:
+    def sign(self, envelope: Envelope) -> bytes:
         """Return the envelope with its code in front."""
         raw = encode_binary(envelope)
         return _mac(self._keys[0], raw) + raw
 
-    def open(self, sealed: bytes, now_wall: Millis) -> Envelope | None:
+    def verify(self, signed: bytes, now_wall: Millis) -> Envelope | None:
         """Return the envelope, or ``None`` unless genuine and fresh."""
-        code, raw = sealed[:_MAC_BYTES], sealed[_MAC_BYTES:]
+        code, raw = signed[:_MAC_BYTES], signed[_MAC_BYTES:]
         genuine = any(
             hmac.compare_digest(code, _mac(key, raw)) for key in self._keys
         )
--- a/src/cartdale/peers/client.py
+++ b/src/cartdale/peers/client.py
@@ -11,7 +11,7 @@
 from cartdale.clock import Clock, Millis, seconds
 from cartdale.codec import decode_binary
 from cartdale.formatting import format_error
-from cartdale.peers.seal import Envelope, Seal, wrap
+from cartdale.peers.authentication import Authenticator, Envelope, wrap
 from cartdale.transport import CORE_BROKEN, CORE_NOT_SENT
 
 PATH = '/peer/v1/messages'
@@ -49,7 +49,7 @@
         self,
         client: httpcore.AsyncConnectionPool,
         name: str,
-        seal: Seal,
+        authenticator: Authenticator,
         clock: Clock,
         timeout: Millis,
     ) -> None:
@@ -57,7 +57,7 @@
         self._name = name
         self._clock = clock
         self._timeout = timeout
-        self.seal = seal
+        self.authenticator = authenticator
         self.sent_bytes = 0
         self.received_bytes = 0
         self.offsets_by_peer: dict[str, Millis] = {}
@@ -78,14 +78,14 @@
         :param times_clock: whether the answer comes at once, so that it shows
             the peer's clock.
         """
-        sealed = self.close(peer, message)
+        signed = self.sign_message(peer, message)
         sent_at = self._clock.wall()
-        self.sent_bytes += len(sealed)
+        self.sent_bytes += len(signed)
         try:
             response = await self._client.request(
                 'POST',
                 f'{address}{PATH}',
-                content=sealed,
+                content=signed,
                 extensions=_make_extensions(timeout or self._timeout),
             )
         except CORE_NOT_SENT as error:
@@ -93,7 +93,7 @@
         except CORE_BROKEN as late_error:
             return Failure(PeerUncertain(format_error(late_error)))
         self.received_bytes += len(response.content)
-        opened = self._unseal(response.content, peer, shape)
+        opened = self._verify(response.content, peer, shape)
         if opened is None:
             return Failure(PeerUncertain('the answer is not genuine'))
         if times_clock:
@@ -103,10 +103,12 @@
         except msgspec.MsgspecError as error:
             return Failure(PeerUncertain(format_error(error)))
 
-    def close(self, recipient: str, message: object) -> bytes:
+    def sign_message(self, recipient: str, message: object) -> bytes:
         """Seal a message to a peer."""
         wall = self._clock.wall()
-        return self.seal.close(wrap(self._name, recipient, message, wall))
+        return self.authenticator.sign(
+            wrap(self._name, recipient, message, wall)
+        )
 
     def clock_error(self) -> Millis:
         """Return how far this wall clock is from the peers', by the median.
@@ -121,11 +123,11 @@
         middle = (sent_at + self._clock.wall()) // 2
         self.offsets_by_peer[peer] = theirs - middle
 
-    def _unseal(
-        self, sealed: bytes, peer: str, shape: type[Reply]
+    def _verify(
+        self, signed: bytes, peer: str, shape: type[Reply]
     ) -> Envelope | None:
         """Return the envelope of a genuine answer of the right kind."""
-        envelope = self.seal.open(sealed, self._clock.wall())
+        envelope = self.authenticator.verify(signed, self._clock.wall())
         if envelope is None or envelope.recipient != self._name:
             return None
         if envelope.sender != peer or envelope.kind != shape.__name__:
--- a/tests/load/fleet.py
+++ b/tests/load/fleet.py
@@ -157,7 +157,7 @@
     async def receive(self) -> bytes:
         return await self._take.receive()
 
-    def seal_with(self, seal: object) -> None:
+    def set_authenticator(self, authenticator: object) -> None:
         """Documents need no seal here."""
 
     async def serve(self, answer: Serve, stopping: trio.Event) -> None:
--- a/tests/test_domain_news.py
+++ b/tests/test_domain_news.py
@@ -43,7 +43,7 @@
     TakeLeaving,
     TakeLoads,
 )
-from cartdale.peers.seal import Seal
+from cartdale.peers.authentication import Authenticator
 
 DOMAINS = ('east', 'north', 'west')
 PEERS = tuple(
@@ -288,7 +288,7 @@
     fleet = Fleet(clock, domain, number)
     datagrams = SocketDatagrams(bound)
     exchange = NewsExchange(own, fleet, clock, print, bool, datagrams)
-    exchange.seal = Seal((b'k' * 32,))
+    exchange.authenticator = Authenticator((b'k' * 32,))
     return Instance(own, fleet, exchange)
 
 
--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -49,7 +49,7 @@
     RevisionAdopted,
     RoundBegan,
 )
-from cartdale.peers.seal import FRESH_MS, Envelope, Seal
+from cartdale.peers.authentication import FRESH_MS, Authenticator, Envelope
 from cartdale.placement.groups import (
     PLACEMENT_GROUP_SIZE,
     derive_placement_groups,
@@ -235,24 +235,28 @@
     assert sizes[-1] - sizes[0] <= 1
 
 
-def seal_one(seal: Seal, wall: int) -> bytes:
+def seal_one(authenticator: Authenticator, wall: int) -> bytes:
     import msgspec
 
     body = msgspec.Raw(msgspec.msgpack.encode(1))
-    return seal.close(Envelope('a', 'b', 'Loan', wall, body))
+    return authenticator.sign(Envelope('a', 'b', 'Loan', wall, body))
 
 
 @pytest.mark.parametrize('position', [0, 8, 20, -1])
 def test_a_changed_message_is_refused(position: int) -> None:
-    seal = Seal((b'new', b'old'))
-    sealed = bytearray(seal_one(Seal((b'old',)), 1000))
-    assert seal.open(bytes(sealed), 1000) is not None
-    sealed[position] ^= 1
-    assert seal.open(bytes(sealed), 1000) is None
+    authenticator = Authenticator((b'new', b'old'))
+    signed = bytearray(seal_one(Authenticator((b'old',)), 1000))
+    assert authenticator.verify(bytes(signed), 1000) is not None
+    signed[position] ^= 1
+    assert authenticator.verify(bytes(signed), 1000) is None
 
 
 def test_a_stale_or_foreign_message_is_refused() -> None:
-    seal = Seal((b'new',))
-    assert seal.open(seal_one(seal, 0), FRESH_MS + 1) is None
-    assert seal.open(seal_one(Seal((b'else',)), 0), 0) is None
-    assert seal.open(b'', 0) is None
+    authenticator = Authenticator((b'new',))
+    assert (
+        authenticator.verify(seal_one(authenticator, 0), FRESH_MS + 1) is None
+    )
+    assert (
+        authenticator.verify(seal_one(Authenticator((b'else',)), 0), 0) is None
+    )
+    assert authenticator.verify(b'', 0) is None
--- a/tests/test_heard_departures.py
+++ b/tests/test_heard_departures.py
@@ -41,7 +41,7 @@
     TakeLeaving,
 )
 from cartdale.news.writing import NewsWriter
-from cartdale.peers.seal import Seal
+from cartdale.peers.authentication import Authenticator
 from cartdale.platform.upstreams import PlatformUpstreams
 from cartdale.relay.decide import (
     MOST_SENDS,
@@ -166,11 +166,11 @@
     teller = Fleet(clock, 'west', 1)
     teller.dispatch(EntryWritten(make_entry('a', born=1)))
     writer = NewsWriter(PEER, teller, clock, bool, bool)
-    seal = Seal((b'k' * 32,))
-    writer.write(seal)
+    authenticator = Authenticator((b'k' * 32,))
+    writer.write(authenticator)
     AdvisoryRecorder(teller, clock).record('a', Advisory(leaving=True), 'r', 0)
     assert writer.has_new()
-    envelope = seal.open(writer.write(seal), clock.wall())
+    envelope = authenticator.verify(writer.write(authenticator), clock.wall())
     news = decode_binary(bytes(envelope.body), LoadNews)
     _, actions = decide_news(NewsState(), NewsArrived('p', news), 0, 0)
     assert TakeLeaving('a', 1, said=True) in actions
--- a/tests/test_limit_news.py
+++ b/tests/test_limit_news.py
@@ -37,7 +37,7 @@
     TakeLimit,
 )
 from cartdale.news.writing import NewsWriter
-from cartdale.peers.seal import Seal
+from cartdale.peers.authentication import Authenticator
 from cartdale_standins.platform_store import PlatformStoreFaults
 from tests.platform_stage import ask, open_platform, until
 from tests.test_domain_news import (
@@ -58,15 +58,17 @@
     teller.dispatch(EntryWritten(make_entry('a', born=1)))
     advisories = AdvisoryRecorder(teller, clock)
     writer = NewsWriter(PEERS[1], teller, clock, bool, bool)
-    seal = Seal((b'k' * 32,))
+    authenticator = Authenticator((b'k' * 32,))
     known = make_fleet('a', born=1)
     for limit in (3.1, inf):
-        writer.write(seal)
+        writer.write(authenticator)
         asked_at = clock.now()
         clock.advance(40)
         advisories.record('a', Advisory(limit=limit), 'r', asked_at)
         assert writer.has_new()
-        envelope = seal.open(writer.write(seal), clock.wall())
+        envelope = authenticator.verify(
+            writer.write(authenticator), clock.wall()
+        )
         news = decode_binary(bytes(envelope.body), LoadNews)
         assert news.limits == {'a': LimitNews(limit, 40, 0, 1)}
         _, actions = decide_news(NewsState(), NewsArrived('p', news), 0, 0)
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -19,6 +19,7 @@
 )
 from cartdale.limits.types import Borrow, Loan
 from cartdale.peers.app import BODY_LIMIT, PeerApp
+from cartdale.peers.authentication import Authenticator
 from cartdale.peers.client import PATH, PeerClient, PeerNotReached
 from cartdale.peers.messages import (
     SHAPES_BY_KIND,
@@ -26,7 +27,6 @@
     PeerMessage,
 )
 from cartdale.peers.pool import make_peer_pool
-from cartdale.peers.seal import Seal
 from cartdale.settings.types import Listener, Tls
 from tests.stage import open_stage
 
@@ -52,7 +52,7 @@
     def __init__(self, nursery: trio.Nursery, tls: Tls | None) -> None:
         clock = SystemClock()
         serving = PeerClient(
-            make_peer_pool(None), 'b', Seal((NEW, OLD)), clock, 1
+            make_peer_pool(None), 'b', Authenticator((NEW, OLD)), clock, 1
         )
         self.app = PeerApp('b', serving, clock, serve, SHAPES_BY_KIND)
         bound = BoundListener(Listener('127.0.0.1', 0, tls))
@@ -62,7 +62,9 @@
 
     async def ask(self, tls: Tls | None, key: bytes = NEW) -> object:
         pool = make_peer_pool(tls)
-        client = PeerClient(pool, 'a', Seal((key,)), SystemClock(), 5000)
+        client = PeerClient(
+            pool, 'a', Authenticator((key,)), SystemClock(), 5000
+        )
         answer = await client.ask('b', self.address, Borrow('c', 1), Loan)
         return answer.value_or(None) or answer.failure()
 
@@ -156,7 +158,7 @@
 
 async def test_clocks_are_compared_with_peers() -> None:
     client = PeerClient(
-        make_peer_pool(None), 'a', Seal((NEW,)), SystemClock(), 1
+        make_peer_pool(None), 'a', Authenticator((NEW,)), SystemClock(), 1
     )
     assert client.clock_error() == 0
     client.offsets_by_peer.update({'b': 900, 'c': 1000, 'd': -1})
--- a/tests/test_upstream_lives.py
+++ b/tests/test_upstream_lives.py
@@ -29,7 +29,7 @@
     TakeLeaving,
 )
 from cartdale.news.writing import NewsWriter
-from cartdale.peers.seal import Seal
+from cartdale.peers.authentication import Authenticator
 from cartdale.platform.documents import BadDocumentError, decode_upstream
 from cartdale.platform.translate import translate
 from cartdale.store.types import Entry
@@ -104,8 +104,8 @@
     fleet.dispatch(EntryWritten(make_entry('a', born=1)))
     fleet.dispatch(EntryRemoved('a'))
     writer = NewsWriter(PEER, fleet, VirtualClock(), bool, bool)
-    seal = Seal((b'k' * 32,))
-    envelope = seal.open(writer.write(seal), 0)
+    authenticator = Authenticator((b'k' * 32,))
+    envelope = authenticator.verify(writer.write(authenticator), 0)
     news = decode_binary(bytes(envelope.body), LoadNews)
     _, actions = decide_news(NewsState(), NewsArrived('p', news), 0, 0)
     assert TakeLeaving('a', 1) in actions
