--- a/bench/scale.py
+++ b/bench/scale.py
@@ -294,10 +294,10 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(bound.serve, app, trio.Event())
             asked = PlaceRequest(make_work('w', 300))
-            await asking.ask('entry-0001', address, asked, PlaceAnswer)
+            await asking.request('entry-0001', address, asked, PlaceAnswer)
             began = time.process_time()
             for _ in range(calls):
-                await asking.ask('entry-0001', address, asked, PlaceAnswer)
+                await asking.request('entry-0001', address, asked, PlaceAnswer)
             spent = time.process_time() - began
             nursery.cancel_scope.cancel()
     return spent * _MICRO
--- a/src/cartdale/daemon/links.py
+++ b/src/cartdale/daemon/links.py
@@ -97,7 +97,7 @@
         if news.revision <= state.revision:
             return
         self._configurator.apply(RevisionHeard(news.revision))
-        answer = await self._peers.ask(
+        answer = await self._peers.request(
             news.name, news.address, FetchDeltas(state.revision), HandOn
         )
         match answer:
--- a/src/cartdale/daemon/peer_links.py
+++ b/src/cartdale/daemon/peer_links.py
@@ -103,7 +103,7 @@
     ) -> Result[Document, PeerFailure]:
         """Ask a peer for the configuration that it has in force."""
         address = f'http://{peer.address}:{peer.port}'
-        return await self._client.ask(
+        return await self._client.request(
             peer.name, address, FetchDocument(ENCODINGS), Document
         )
 
--- a/src/cartdale/ledger/claims.py
+++ b/src/cartdale/ledger/claims.py
@@ -66,7 +66,7 @@
         if holder.name == self._name:
             self._owner.take(message, message.key)
             return
-        await self._peers.ask(
+        await self._peers.request(
             holder.name, holder.address, message, Acknowledged
         )
 
@@ -77,7 +77,7 @@
             return None
         if holder.name == self._name:
             return _owned(self._owner.take(claim, claim.key))
-        asked = await self._peers.ask(
+        asked = await self._peers.request(
             holder.name, holder.address, claim, ClaimAnswer
         )
         match asked:
--- a/src/cartdale/limits/driver.py
+++ b/src/cartdale/limits/driver.py
@@ -81,7 +81,9 @@
         return loan
 
     async def _ask(self, keeper: MemberNews, asked: Borrow) -> Loan | None:
-        answer = await self._peers.ask(keeper.name, keeper.address, asked, Loan)
+        answer = await self._peers.request(
+            keeper.name, keeper.address, asked, Loan
+        )
         match answer:
             case Success(loan):
                 granted: Loan = loan
--- a/src/cartdale/membership/driver.py
+++ b/src/cartdale/membership/driver.py
@@ -168,7 +168,7 @@
             self.tell(CrashesLearnt())
 
     async def _exchange(self, tell: Tell) -> None:
-        answer = await self._ports.peers.ask(
+        answer = await self._ports.peers.request(
             tell.name,
             tell.address,
             Exchange(tell.news, self._ports.quarantine.list_news()),
--- a/src/cartdale/peers/client.py
+++ b/src/cartdale/peers/client.py
@@ -62,7 +62,7 @@
         self.received_bytes = 0
         self.offsets_by_peer: dict[str, Millis] = {}
 
-    async def ask(
+    async def request(
         self,
         peer: str,
         address: str,
--- a/src/cartdale/placement/driver.py
+++ b/src/cartdale/placement/driver.py
@@ -183,7 +183,7 @@
             work, arrived_at=now - work.arrived_at, deadline_at=patience
         )
         self._placers_by_work[work.work_id] = placer
-        answer = await self._ports.peers.ask(
+        answer = await self._ports.peers.request(
             placer.name,
             placer.address,
             PlaceRequest(relative),
@@ -208,7 +208,7 @@
 
     async def _send(self, name: str, report: EndReport) -> None:
         address = self._addresses_by_name[name]
-        await self._ports.peers.ask(name, address, report, Acknowledged)
+        await self._ports.peers.request(name, address, report, Acknowledged)
 
 
 def _is_leaving(placed: Placed) -> bool:
--- a/src/cartdale/reports/recorder.py
+++ b/src/cartdale/reports/recorder.py
@@ -50,7 +50,7 @@
         for news in membership.alive():
             if news.name == self._instance:
                 continue
-            answer = await peers.ask(
+            answer = await peers.request(
                 news.name, news.address, FetchReport(), ReportPart
             )
             match answer:
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -65,7 +65,7 @@
         client = PeerClient(
             pool, 'a', Authenticator((key,)), SystemClock(), 5000
         )
-        answer = await client.ask('b', self.address, Borrow('c', 1), Loan)
+        answer = await client.request('b', self.address, Borrow('c', 1), Loan)
         return answer.value_or(None) or answer.failure()
 
 
