--- a/src/cartdale/daemon/peers.py
+++ b/src/cartdale/daemon/peers.py
@@ -21,7 +21,7 @@
 from cartdale.formatting import list_plain_fields
 from cartdale.news.decide import list_holders
 from cartdale.news.driver import NewsExchange
-from cartdale.news.roster import KEY_NAME, PEER_PREFIX, Roster
+from cartdale.news.registration import KEY_NAME, PEER_PREFIX, PeerRegistration
 from cartdale.news.types import PeerEntry, PeerListed, PeerRemoved
 from cartdale.peers.authentication import Authenticator
 from cartdale.peers.documents import (
@@ -73,7 +73,7 @@
             self.lost_store,
             links.datagrams,
         )
-        self._roster = Roster(
+        self._registration = PeerRegistration(
             store,
             own,
             self.count_listed,
@@ -103,16 +103,16 @@
             nursery.start_soon(self._links.serve, self._serve, stopping)
             nursery.start_soon(self._follow, follower)
             nursery.start_soon(self._lasting.run)
-            await self._roster.register()
+            await self._registration.register()
             self._tried_to_register.set()
             await follower.synced.wait()
             nursery.start_soon(self._agree_on_key)
-            await self._roster.run()
+            await self._registration.run()
 
     async def withdraw(self) -> None:
         """Take this instance off the list, if the store answers soon."""
         with trio.move_on_after(seconds(_WITHDRAW_TIMEOUT)):
-            await self._roster.withdraw()
+            await self._registration.withdraw()
 
     def take_own_key(self, change: OwnKey) -> None:
         """Take what instances wrote for each other in the store."""
@@ -170,7 +170,7 @@
     def lost_store(self) -> bool:
         """Tell whether the store does not answer this instance."""
         following = self._follower is not None and self._follower.failing
-        return following or self._roster.failing
+        return following or self._registration.failing
 
     def list_names_in(self, failure_domain: str) -> tuple[str, ...]:
         """Return the names of the instances listed in a failure domain."""
@@ -197,7 +197,7 @@
     async def _agree_on_key(self) -> None:
         """Propose a key for the cluster until one is known."""
         while self.news.authenticator is None:
-            key = await self._roster.propose_key()
+            key = await self._registration.propose_key()
             if key:
                 self.take_key(key)
                 return
@@ -221,7 +221,7 @@
         """Keep the cluster's key in the store, or take what it has instead."""
         stored = b''
         while not stored:
-            stored = await self._roster.propose_key(self.key)
+            stored = await self._registration.propose_key(self.key)
             if not stored:
                 await trio.sleep(seconds(_PROPOSE_EVERY))
         if stored != self.key:
--- a/src/cartdale/news/roster.py
+++ b/src/cartdale/news/registration.py
@@ -36,7 +36,7 @@
 _KEY_BYTES = 32
 
 
-class Roster:
+class PeerRegistration:
     """Keep this instance listed.
 
     :param own: what the others need to reach it.
--- a/tests/load/test_lease.py
+++ b/tests/load/test_lease.py
@@ -12,7 +12,7 @@
 from returns.result import Failure, Result
 
 from cartdale.clock import Millis, SystemClock
-from cartdale.news.roster import PEER_PREFIX, Roster
+from cartdale.news.registration import PEER_PREFIX, PeerRegistration
 from cartdale.news.types import PeerEntry
 from cartdale.store.types import StoreFailure, StoreUnavailable
 from cartdale_standins.state import KeyValueState
@@ -37,9 +37,11 @@
 ) -> None:
     state = KeyValueState(SystemClock())
     store = LossyStore(state, Counter())
-    roster = Roster(store, OWN, lambda: listed, lambda: None, bool)
+    registration = PeerRegistration(
+        store, OWN, lambda: listed, lambda: None, bool
+    )
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(roster.run)
+        nursery.start_soon(registration.run)
         for _ in range(120):
             await trio.sleep(1)
             assert state.find(f'{PEER_PREFIX}{OWN.name}')
--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -22,7 +22,7 @@
     Lifecycle,
     TimePassed,
 )
-from cartdale.news.roster import KEY_NAME, PEER_PREFIX
+from cartdale.news.registration import KEY_NAME, PEER_PREFIX
 from cartdale.platform.eras import find_era, find_revision, place
 from cartdale.platform.settings import Endpoint
 from cartdale.platform.store import PlatformStore, make_store
