--- a/src/cartdale/daemon/peers.py
+++ b/src/cartdale/daemon/peers.py
@@ -257,7 +257,7 @@
         one after another, whoever has it by then.
         """
         if not self.news.fetches_at_once(told):
-            around = len(self.news.list_audience())
+            around = len(self.news.list_recipients())
             spread = int(_FETCH_SPREAD * around * self._generator.random())
             await trio.sleep(seconds(spread))
         version = self._fleet.table.version
--- a/src/cartdale/daemon/shares.py
+++ b/src/cartdale/daemon/shares.py
@@ -55,7 +55,7 @@
         self._budget.participant_count = max(
             self._peers.news.count_alive(), self._peers.count_listed()
         )
-        old_news = self._peers.news.tells_by_domains()
+        old_news = self._peers.news.uses_domain_summaries()
         self._fleet.choices = CHOICES_WITH_STALE_LOADS if old_news else CHOICES
         # Before the first read nobody is known who shares, and what an
         # instance sent before it started again is forgotten for a second.
--- a/src/cartdale/news/decide.py
+++ b/src/cartdale/news/decide.py
@@ -5,7 +5,7 @@
 from typing import assert_never
 
 from cartdale.clock import SECOND_MS, Millis
-from cartdale.news.duties import SILENT_MS
+from cartdale.news.roles import SILENT_MS
 from cartdale.news.types import (
     Action,
     AvoidUpstream,
--- a/src/cartdale/news/speaking.py
+++ b/src/cartdale/news/domain_publisher.py
@@ -9,8 +9,8 @@
 from cartdale.clock import Clock, Millis, seconds
 from cartdale.fleet.driver import Fleet
 from cartdale.news.decide import ALIVE_MS, count_reporters
-from cartdale.news.duties import choose_recipients, is_domain_speaker
-from cartdale.news.limits import add_offers, merge_limit_news
+from cartdale.news.limits import merge_limit_news, sum_demand
+from cartdale.news.roles import choose_domain_recipients, is_domain_publisher
 from cartdale.news.types import DomainNews, Heard, NewsState, PeerEntry
 from cartdale.news.writing import NewsWriter
 from cartdale.peers.authentication import Authenticator
@@ -24,7 +24,7 @@
 _UNCHANGED_EVERY: Millis = 400
 
 
-class HeardNews(Protocol):
+class NewsChannel(Protocol):
     """Tell what was heard, and send."""
 
     state: NewsState
@@ -34,14 +34,14 @@
     def own(self) -> PeerEntry:
         """Return how this instance is reached."""
 
-    def list_audience(self) -> list[PeerEntry]:
+    def list_recipients(self) -> list[PeerEntry]:
         """Return the peers to which this instance tells its news."""
 
     def send_to(self, signed: bytes, peer: PeerEntry) -> None:
         """Send a message to a peer; it may be lost."""
 
 
-class DomainSpeaker:
+class DomainPublisher:
     """Speak for a failure domain, while that is this instance's duty.
 
     :param news: what this instance heard.
@@ -51,7 +51,7 @@
 
     def __init__(
         self,
-        news: HeardNews,
+        news: NewsChannel,
         writer: NewsWriter,
         fleet: Fleet,
         clock: Clock,
@@ -73,7 +73,7 @@
         while True:
             await self._pause()
             now = self._clock.now()
-            if self._news.authenticator is None or not is_domain_speaker(
+            if self._news.authenticator is None or not is_domain_publisher(
                 self._news.state, self._news.own, now
             ):
                 continue
@@ -84,7 +84,7 @@
             told, told_at = (news, urgent), now
             news = self._add_aged(news, now)
             turn += 1
-            for peer in choose_recipients(
+            for peer in choose_domain_recipients(
                 self._news.state, self._news.own, now, turn
             ):
                 signed = self._writer.sign_domain_news(
@@ -119,7 +119,7 @@
         return fleet.lifecycles, fleet.table.version, crashes
 
     def _describe(self, now: Millis) -> DomainNews:
-        names = [peer.name for peer in self._news.list_audience()]
+        names = [peer.name for peer in self._news.list_recipients()]
         alive = [heard.news for heard in self._list_around(now)]
         loads_by_upstream = self._fleet.loads.shared_totals(names, now)
         lost = self._store_lost() and all(news.store_lost for news in alive)
@@ -131,7 +131,7 @@
         )
         own = self._fleet.limits.measure_demand()
         return replace(
-            news, offers=add_offers((own, *(each.offers for each in alive)))
+            news, offers=sum_demand((own, *(each.offers for each in alive)))
         )
 
     def _list_around(self, now: Millis) -> list[Heard]:
@@ -139,7 +139,7 @@
         heard_by_name = self._news.state.heard_by_name
         return [
             heard_by_name[peer.name]
-            for peer in self._news.list_audience()
+            for peer in self._news.list_recipients()
             if peer.name in heard_by_name
             and now - heard_by_name[peer.name].at <= ALIVE_MS
         ]
--- a/src/cartdale/news/driver.py
+++ b/src/cartdale/news/driver.py
@@ -21,19 +21,19 @@
 )
 from cartdale.formatting import format_error
 from cartdale.news.decide import count_alive, decide, is_silent
-from cartdale.news.duties import (
+from cartdale.news.domain_publisher import DomainPublisher
+from cartdale.news.limits import find_limit_participants, read_limit
+from cartdale.news.ports import Datagrams
+from cartdale.news.roles import (
     StoreView,
-    find_patience,
-    is_domain_speaker,
+    find_silence_timeout,
+    is_domain_publisher,
     is_prober,
     is_watcher,
     is_wide,
-    list_audience,
+    list_recipients,
     stretch,
 )
-from cartdale.news.limits import find_limit_participants, read_limit
-from cartdale.news.ports import Datagrams
-from cartdale.news.speaking import DomainSpeaker
 from cartdale.news.types import (
     AvoidUpstream,
     DomainNews,
@@ -95,7 +95,7 @@
         self._writer = NewsWriter(
             own, fleet, clock, self.is_watcher, store_lost
         )
-        self._speaker = DomainSpeaker(
+        self._domain_publisher = DomainPublisher(
             self, self._writer, fleet, clock, store_lost
         )
         self.state = NewsState()
@@ -137,7 +137,7 @@
     def is_watcher(self) -> bool:
         """Tell whether this instance follows the store for the others."""
         now = self._clock.now()
-        patience = find_patience(self.state, self._own, now)
+        patience = find_silence_timeout(self.state, self._own, now)
         began = self._started_at
         young = began is None or now - began <= patience
         view = StoreView(lost=self._store_lost(), young=young)
@@ -153,7 +153,7 @@
         """Tell whether no peer was heard of late."""
         return is_silent(self.state, self._clock.now())
 
-    def tells_by_domains(self) -> bool:
+    def uses_domain_summaries(self) -> bool:
         """Tell whether loads of other domains come as sums, and late."""
         return is_wide(self.state)
 
@@ -167,7 +167,7 @@
             return True
         if teller.failure_domain != self._own.failure_domain:
             return True
-        return is_domain_speaker(self.state, self._own, self._clock.now())
+        return is_domain_publisher(self.state, self._own, self._clock.now())
 
     def count_alive(self) -> int:
         """Return how many instances are alive, this one included."""
@@ -179,9 +179,9 @@
         now = self._clock.now()
         return find_limit_participants(self.state, self._own, offers, now)
 
-    def list_audience(self) -> list[PeerEntry]:
+    def list_recipients(self) -> list[PeerEntry]:
         """Return the peers to which this instance tells its news."""
-        return list_audience(self.state, self._own, self._clock.now())
+        return list_recipients(self.state, self._own, self._clock.now())
 
     def send_to(self, signed: bytes, peer: PeerEntry) -> None:
         """Send a message to a peer; it may be lost."""
@@ -199,7 +199,7 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._receive)
             nursery.start_soon(self._send)
-            nursery.start_soon(self._speaker.run)
+            nursery.start_soon(self._domain_publisher.run)
 
     def _take_statement(self, told: TakeLeaving | TakeLimit) -> None:
         match told:
@@ -247,18 +247,18 @@
 
     def _forward(self, raw: bytes) -> None:
         """Send a message as it came to the instances around."""
-        for peer in self.list_audience():
+        for peer in self.list_recipients():
             self.send_to(raw, peer)
 
     async def _send(self) -> None:
         while True:
-            factor = stretch(len(self.list_audience()))
+            factor = stretch(len(self.list_recipients()))
             await trio.sleep(seconds(_CHANGED_EVERY * factor))
             await self._wait_for_news(_UNCHANGED_EVERY * factor)
             if self.authenticator is None:
                 continue
             signed = self._writer.write(self.authenticator)
-            for peer in self.list_audience():
+            for peer in self.list_recipients():
                 self.send_to(signed, peer)
 
     async def _wait_for_news(self, longest: Millis) -> None:
--- a/src/cartdale/news/limits.py
+++ b/src/cartdale/news/limits.py
@@ -6,7 +6,7 @@
 from cartdale.fleet.limit_gate import DemandByService, LimitParticipants
 from cartdale.fleet.rate_limits import RateLimit, merge_limits
 from cartdale.news.decide import ALIVE_MS
-from cartdale.news.duties import is_wide
+from cartdale.news.roles import is_wide
 from cartdale.news.types import (
     Heard,
     HeardDomain,
@@ -50,7 +50,7 @@
     return limits_by_upstream
 
 
-def add_offers(
+def sum_demand(
     offers: Iterable[Mapping[str, float]],
 ) -> dict[str, float]:
     """Return what several offer together, of services that all tell."""
@@ -85,7 +85,7 @@
     domain_peers = _list_offers(state, names, now)
     domain_peers[own.name] = offers
     told = [each for each in domain_peers.values() if each is not None]
-    groups = {**_list_domain_offers(state, now), domain: add_offers(told)}
+    groups = {**_list_domain_offers(state, now), domain: sum_demand(told)}
     return LimitParticipants(own.name, domain, groups, domain_peers)
 
 
--- a/src/cartdale/news/registration.py
+++ b/src/cartdale/news/registration.py
@@ -10,7 +10,7 @@
 from cartdale.clock import MINUTE_MS, SECOND_MS, Millis, seconds
 from cartdale.codec import encode_json
 from cartdale.formatting import list_plain_fields
-from cartdale.news.duties import stretch
+from cartdale.news.roles import stretch
 from cartdale.news.types import PeerEntry
 from cartdale.store.types import (
     Committed,
--- a/src/cartdale/news/duties.py
+++ b/src/cartdale/news/roles.py
@@ -50,7 +50,7 @@
     return many and len(_list_domains(state)) > 1
 
 
-def list_audience(
+def list_recipients(
     state: NewsState, own: PeerEntry, now: Millis
 ) -> list[PeerEntry]:
     """Return the peers to which this instance tells its news."""
@@ -64,9 +64,11 @@
     ]
 
 
-def find_patience(state: NewsState, own: PeerEntry, now: Millis) -> Millis:
+def find_silence_timeout(
+    state: NewsState, own: PeerEntry, now: Millis
+) -> Millis:
     """Return how long those around may be silent until they are missed."""
-    return SILENT_MS * stretch(len(list_audience(state, own, now)))
+    return SILENT_MS * stretch(len(list_recipients(state, own, now)))
 
 
 def is_watcher(
@@ -97,7 +99,7 @@
     return own.failure_domain in domains[:WATCHING_DOMAINS]
 
 
-def is_domain_speaker(state: NewsState, own: PeerEntry, now: Millis) -> bool:
+def is_domain_publisher(state: NewsState, own: PeerEntry, now: Millis) -> bool:
     """Tell whether this instance speaks for its failure domain.
 
     The last of the order by which watchers are the first, so that no
@@ -132,7 +134,7 @@
     )
 
 
-def choose_recipients(
+def choose_domain_recipients(
     state: NewsState, own: PeerEntry, now: Millis, turn: int
 ) -> list[PeerEntry]:
     """Return one instance in each other failure domain to speak to.
@@ -175,7 +177,7 @@
 
 def _list_alive(state: NewsState, own: PeerEntry, now: Millis) -> list[Heard]:
     """Return what peers told of late; in a large system those around."""
-    patience = find_patience(state, own, now)
+    patience = find_silence_timeout(state, own, now)
     wide = is_wide(state)
     return [
         heard
@@ -210,7 +212,7 @@
     Those with instances that the store answers; while it answers nobody, all
     that were heard of late.
     """
-    patience = find_patience(state, own, now)
+    patience = find_silence_timeout(state, own, now)
     heard = {
         domain: told.news.store_lost
         for domain, told in state.domains_by_name.items()
--- a/tests/load/test_store_calls.py
+++ b/tests/load/test_store_calls.py
@@ -13,7 +13,7 @@
 import trio
 
 from cartdale.fleet.types import Lifecycle
-from cartdale.news.duties import WATCHING_DOMAINS
+from cartdale.news.roles import WATCHING_DOMAINS
 from tests.load.fleet import SimulatedFleet
 
 SIZES = (30, 100)
--- a/tests/test_domain_news.py
+++ b/tests/test_domain_news.py
@@ -17,17 +17,17 @@
     is_silent,
 )
 from cartdale.news.driver import NewsExchange
-from cartdale.news.duties import (
+from cartdale.news.roles import (
     MOST_FLAT_PEERS,
     SILENT_MS,
     WATCHING_DOMAINS,
     StoreView,
-    choose_recipients,
-    is_domain_speaker,
+    choose_domain_recipients,
+    is_domain_publisher,
     is_prober,
     is_watcher,
     is_wide,
-    list_audience,
+    list_recipients,
 )
 from cartdale.news.types import (
     AvoidUpstream,
@@ -74,13 +74,13 @@
     few = PEERS[:MOST_FLAT_PEERS]
     state = make_state(few)
     assert not is_wide(state)
-    assert len(list_audience(state, OWN, 0)) == len(few) - 1
-    assert not is_domain_speaker(state, OWN, 0)
+    assert len(list_recipients(state, OWN, 0)) == len(few) - 1
+    assert not is_domain_publisher(state, OWN, 0)
 
 
 def test_large_systems_tell_their_failure_domain() -> None:
     state = make_state()
-    audience = list_audience(state, OWN, 0)
+    audience = list_recipients(state, OWN, 0)
     assert {peer.failure_domain for peer in audience} == {'east'}
     assert len(audience) == 7
 
@@ -115,7 +115,7 @@
         speakers = [
             peer
             for peer in around
-            if is_domain_speaker(make_state(own=peer), peer, 0)
+            if is_domain_publisher(make_state(own=peer), peer, 0)
         ]
         assert len(speakers) == 1
 
@@ -125,7 +125,7 @@
     assert len({peer.failure_domain for peer in watchers}) == WATCHING_DOMAINS
     assert len(watchers) == WATCHING_DOMAINS
     for watcher in watchers:
-        assert not is_domain_speaker(make_state(own=watcher), watcher, 0)
+        assert not is_domain_publisher(make_state(own=watcher), watcher, 0)
 
 
 def test_another_domain_watches_for_one_that_the_store_does_not_answer() -> (
@@ -177,7 +177,7 @@
     first = next(
         peer
         for peer in around
-        if is_domain_speaker(make_state(own=peer), peer, 0)
+        if is_domain_publisher(make_state(own=peer), peer, 0)
     )
     later = 10 * SILENT_MS
     heard = [peer for peer in PEERS if peer != first]
@@ -185,7 +185,7 @@
         peer
         for peer in around
         if peer != first
-        and is_domain_speaker(
+        and is_domain_publisher(
             make_state(heard, own=peer, now=later), peer, later
         )
     ]
@@ -220,15 +220,15 @@
     by_turns = {
         peer.name
         for turn in range(8)
-        for peer in choose_recipients(state, OWN, 0, turn)
+        for peer in choose_domain_recipients(state, OWN, 0, turn)
     }
     assert len(by_turns) == 16
     state, _ = decide(state, DomainNewsArrived(make_news(), True), 0, 0)
     for turn in range(8):
-        chosen = choose_recipients(state, OWN, SILENT_MS, turn)
+        chosen = choose_domain_recipients(state, OWN, SILENT_MS, turn)
         assert NORTH in chosen
         assert len(chosen) == 2
-    late = choose_recipients(state, OWN, SILENT_MS + 1, 1)
+    late = choose_domain_recipients(state, OWN, SILENT_MS + 1, 1)
     assert NORTH not in late
 
 
--- a/tests/test_limit_news.py
+++ b/tests/test_limit_news.py
@@ -22,10 +22,10 @@
 from cartdale.news.decide import ALIVE_MS
 from cartdale.news.decide import decide as decide_news
 from cartdale.news.limits import (
-    add_offers,
     find_limit_participants,
     merge_limit_news,
     read_limit,
+    sum_demand,
     write_limit,
 )
 from cartdale.news.types import (
@@ -148,8 +148,8 @@
 
 
 def test_offers_are_added_where_all_tell_them() -> None:
-    assert add_offers([{'s': 1, 't': 2}, {'s': 3}]) == {'s': 4}
-    assert not add_offers([])
+    assert sum_demand([{'s': 1, 't': 2}, {'s': 3}]) == {'s': 4}
+    assert not sum_demand([])
 
 
 def test_sharers_of_a_small_system_are_all_that_are_listed() -> None:
--- a/tests/test_news.py
+++ b/tests/test_news.py
@@ -10,14 +10,14 @@
     decide,
     is_silent,
 )
-from cartdale.news.duties import (
+from cartdale.news.roles import (
     FORGET_MS,
     SILENT_MS,
     WATCHERS,
     StoreView,
     is_prober,
     is_watcher,
-    list_audience,
+    list_recipients,
 )
 from cartdale.news.types import (
     AvoidUpstream,
@@ -105,8 +105,8 @@
     state, _ = hear(NewsState(), make_news(1), now=0)
     assert count_alive(state, ALIVE_MS) == 1
     assert count_alive(state, ALIVE_MS + 1) == 0
-    assert list_audience(state, OWN, FORGET_MS) == [PEER]
-    assert not list_audience(state, OWN, FORGET_MS + 1)
+    assert list_recipients(state, OWN, FORGET_MS) == [PEER]
+    assert not list_recipients(state, OWN, FORGET_MS + 1)
     state, _ = hear(state, PeerRemoved('p'))
     assert not state.peers_by_name
 
