--- a/bench/scale.py
+++ b/bench/scale.py
@@ -45,7 +45,7 @@
     MemberNews,
     MembershipState,
     MemberStatus,
-    NewsHeard,
+    NewsReceived,
     RoundBegan,
 )
 from cartdale.model.types import LoadReport
@@ -131,7 +131,7 @@
     """Make the state of an instance that knows all others."""
     state = MembershipState(make_news(0))
     for number in range(1, count):
-        heard = NewsHeard((make_news(number),))
+        heard = NewsReceived((make_news(number),))
         state = decide_membership(state, heard, number)[0]
     return state
 
@@ -144,7 +144,9 @@
     def call() -> None:
         after, _ = decide_membership(state, RoundBegan(), 1000)
         for _ in range(4):
-            after, _ = decide_membership(after, NewsHeard(news[:count]), 1000)
+            after, _ = decide_membership(
+                after, NewsReceived(news[:count]), 1000
+            )
 
     return time_call(call)
 
--- a/src/cartdale/configuration/decide.py
+++ b/src/cartdale/configuration/decide.py
@@ -15,7 +15,7 @@
     DeltasReceived,
     Fetch,
     Message,
-    RevisionHeard,
+    RevisionAnnounced,
     Snapshot,
     SnapshotReceived,
     digest_bodies,
@@ -32,7 +32,7 @@
     :returns: the next state, and what to fetch or put in force.
     """
     match message:
-        case RevisionHeard(revision=revision):
+        case RevisionAnnounced(revision=revision):
             after, actions = _hear(state, revision)
         case DeltasReceived(deltas=deltas):
             after, actions = _take_deltas(state, deltas)
--- a/src/cartdale/configuration/driver.py
+++ b/src/cartdale/configuration/driver.py
@@ -26,7 +26,7 @@
     DeltasReceived,
     Fetch,
     Message,
-    RevisionHeard,
+    RevisionAnnounced,
     SnapshotReceived,
 )
 from cartdale.store.types import Store
@@ -130,7 +130,7 @@
             await trio.sleep(seconds(_PAUSE))
 
     async def _catch_up_to(self, seen: StoredHead) -> bool:
-        self.apply(RevisionHeard(seen.head.revision))
+        self.apply(RevisionAnnounced(seen.head.revision))
         while self.state.revision < seen.head.revision:
             before = self.state.revision
             log = await read_log(self._store, before)
--- a/src/cartdale/configuration/types.py
+++ b/src/cartdale/configuration/types.py
@@ -90,7 +90,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RevisionHeard:
+class RevisionAnnounced:
     """Someone says that a revision exists."""
 
     revision: int
@@ -125,6 +125,6 @@
     after: int
 
 
-Message = RevisionHeard | DeltasReceived | SnapshotReceived
+Message = RevisionAnnounced | DeltasReceived | SnapshotReceived
 Action = Adopt | Fetch
 Decision = tuple[ConfigurationState, tuple[Action, ...]]
--- a/src/cartdale/daemon/group.py
+++ b/src/cartdale/daemon/group.py
@@ -72,7 +72,7 @@
                 peers=self.peers,
                 clock=clock,
                 list_url=settings.instances,
-                heard=links.hear,
+                on_news=links.hear,
                 quarantine=self.quarantine,
             ),
             _introduce(settings, address, clock.wall()),
--- a/src/cartdale/daemon/links.py
+++ b/src/cartdale/daemon/links.py
@@ -8,7 +8,7 @@
 from cartdale.configuration.driver import Configurator
 from cartdale.configuration.types import (
     DeltasReceived,
-    RevisionHeard,
+    RevisionAnnounced,
     Snapshot,
     SnapshotReceived,
 )
@@ -96,7 +96,7 @@
         state = self._configurator.state
         if news.revision <= state.revision:
             return
-        self._configurator.apply(RevisionHeard(news.revision))
+        self._configurator.apply(RevisionAnnounced(news.revision))
         answer = await self._peers.request(
             news.name, news.address, FetchDeltas(state.revision), HandOn
         )
--- a/src/cartdale/daemon/peers.py
+++ b/src/cartdale/daemon/peers.py
@@ -140,7 +140,7 @@
     def list_known(self) -> tuple[PeerEntry, ...]:
         """Return the instances that are listed or were heard of, and this."""
         known = dict(self.news.state.peers_by_name)
-        for name, heard in self.news.state.heard_by_name.items():
+        for name, heard in self.news.state.received_by_name.items():
             known[name] = heard.news.peer
         return (*known.values(), self._own)
 
@@ -265,7 +265,7 @@
         holders = list_holders(self.news.state, version, now)
         if holders:
             return self._generator.choice(holders)
-        known = self.news.state.heard_by_name.get(told.name)
+        known = self.news.state.received_by_name.get(told.name)
         if known is not None and known.news.version <= version:
             return None
         return told
--- a/src/cartdale/membership/decide.py
+++ b/src/cartdale/membership/decide.py
@@ -23,7 +23,7 @@
     MembershipState,
     MemberStatus,
     Message,
-    NewsHeard,
+    NewsReceived,
     OwnLeaving,
     PeerSilent,
     RevisionAdopted,
@@ -43,7 +43,7 @@
     match message:
         case ListRead(instances=instances):
             return _read_list(state, instances, now), ()
-        case NewsHeard(news=news):
+        case NewsReceived(news=news):
             return _hear(state, news, now), ()
         case PeerSilent(name=name):
             return _suspect(state, name), ()
@@ -80,7 +80,7 @@
     """Tell whether a member is believed to be alive and staying."""
     if member.news.status is MemberStatus.LEAVING or member.suspected:
         return False
-    return now - member.heard_at <= silence_limit(state)
+    return now - member.received_at <= silence_limit(state)
 
 
 def silence_limit(state: MembershipState) -> Millis:
@@ -103,7 +103,7 @@
     for name, member in state.members_by_name.items():
         live = name in listed and listed[name].state == _LISTED_LIVE
         members_by_name[name] = replace(member, listed=live)
-        if not live and now - member.heard_at > FORGET_MS:
+        if not live and now - member.received_at > FORGET_MS:
             members_by_name.pop(name)
     for listing in instances:
         unknown = listing.name not in members_by_name
@@ -124,7 +124,7 @@
         region=listing.region,
         revision=0,
     )
-    return Member(news, heard_at=now, listed=live)
+    return Member(news, received_at=now, listed=live)
 
 
 def _hear(
@@ -136,9 +136,9 @@
             continue
         known = members_by_name.get(news.name)
         if known is None:
-            known = Member(news, heard_at=now)
+            known = Member(news, received_at=now)
         elif _is_newer(news, known.news):
-            known = replace(known, news=news, heard_at=now)
+            known = replace(known, news=news, received_at=now)
         if index == 0:
             known = replace(known, suspected=False)
         members_by_name[news.name] = known
@@ -182,7 +182,7 @@
     peers = sorted(
         name
         for name, member in state.members_by_name.items()
-        if now - member.heard_at <= FORGET_MS or member.listed
+        if now - member.received_at <= FORGET_MS or member.listed
     )
     chosen = generator.sample(peers, min(fanout, len(peers)))
     news = select_news(state)
@@ -200,7 +200,7 @@
     every member round.
     """
     freshest = sorted(
-        state.members_by_name.values(), key=_heard_at, reverse=True
+        state.members_by_name.values(), key=_received_at, reverse=True
     )
     fresh, rest = freshest[:FRESHEST], freshest[FRESHEST:]
     generator = random.Random(f'{state.own.name}:{state.rounds}')
@@ -209,8 +209,8 @@
     return (state.own, *(member.news for member in (*fresh, *sampled)))
 
 
-def _heard_at(member: Member) -> Millis:
-    return member.heard_at
+def _received_at(member: Member) -> Millis:
+    return member.received_at
 
 
 def _name_of(news: MemberNews) -> str:
--- a/src/cartdale/membership/driver.py
+++ b/src/cartdale/membership/driver.py
@@ -21,7 +21,7 @@
     MemberNews,
     MembershipState,
     Message,
-    NewsHeard,
+    NewsReceived,
     PeerSilent,
     RoundBegan,
     Tell,
@@ -57,7 +57,7 @@
     """Bundle what membership uses of its instance.
 
     :param list_url: where the platform's list is read.
-    :param heard: called with a peer's own news after each exchange.
+    :param on_news: called with a peer's own news after each exchange.
     :param quarantine: what it knows travels with the news.
     """
 
@@ -65,7 +65,7 @@
     peers: PeerClient
     clock: Clock
     list_url: str
-    heard: NewsFrom
+    on_news: NewsFrom
     quarantine: Quarantine
 
 
@@ -108,7 +108,7 @@
 
     def answer(self, exchange: Exchange) -> Exchange:
         """Take a peer's news and return own."""
-        self._apply(NewsHeard(exchange.news))
+        self._apply(NewsReceived(exchange.news))
         quarantine = self._ports.quarantine
         quarantine.tell(CrashesTold(exchange.crashes))
         return Exchange(select_news(self.state), quarantine.list_news())
@@ -178,8 +178,8 @@
         match answer:
             case Success(Exchange(news=news, crashes=crashes)) if news:
                 self._ports.quarantine.tell(CrashesTold(crashes))
-                self._apply(NewsHeard(news))
-                await self._ports.heard(news[0])
+                self._apply(NewsReceived(news))
+                await self._ports.on_news(news[0])
             case _:
                 self._apply(PeerSilent(tell.name))
 
--- a/src/cartdale/membership/types.py
+++ b/src/cartdale/membership/types.py
@@ -54,13 +54,13 @@
 class Member:
     """Hold what this instance believes of another.
 
-    :param heard_at: when news with a newer heartbeat arrived.
+    :param received_at: when news with a newer heartbeat arrived.
     :param suspected: whether a call to it failed and it was not heard since.
     :param listed: whether the platform's list shows it as live.
     """
 
     news: MemberNews
-    heard_at: Millis
+    received_at: Millis
     suspected: bool = False
     listed: bool = False
 
@@ -97,7 +97,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NewsHeard:
+class NewsReceived:
     """A peer told what it knows; the first entry is its own."""
 
     news: tuple[MemberNews, ...]
@@ -144,7 +144,7 @@
 
 Message = (
     ListRead
-    | NewsHeard
+    | NewsReceived
     | PeerSilent
     | RoundBegan
     | RevisionAdopted
--- a/src/cartdale/news/decide.py
+++ b/src/cartdale/news/decide.py
@@ -14,8 +14,6 @@
     DomainNewsArrived,
     FetchTable,
     ForwardNews,
-    Heard,
-    HeardDomain,
     LoadNews,
     Message,
     NewsArrived,
@@ -23,6 +21,8 @@
     PeerEntry,
     PeerListed,
     PeerRemoved,
+    ReceivedDomainNews,
+    ReceivedNews,
     TakeEntry,
     TakeEvacuations,
     TakeLeaving,
@@ -66,7 +66,7 @@
 
 def is_silent(state: NewsState, now: Millis) -> bool:
     """Tell whether peers were heard before, and none of them of late."""
-    heard_at = [heard.at for heard in state.heard_by_name.values()]
+    heard_at = [heard.at for heard in state.received_by_name.values()]
     heard_at.extend(heard.at for heard in state.domains_by_name.values())
     return bool(heard_at) and now - max(heard_at) > SILENT_MS
 
@@ -74,7 +74,7 @@
 def count_alive(state: NewsState, now: Millis) -> int:
     """Return how many peers were heard of late, or told about."""
     direct = sum(
-        now - heard.at <= ALIVE_MS for heard in state.heard_by_name.values()
+        now - heard.at <= ALIVE_MS for heard in state.received_by_name.values()
     )
     by_domain = sum(
         heard.news.alive
@@ -97,7 +97,7 @@
     """
     direct = sum(
         upstream in heard.news.unreachable and now - heard.at <= SILENT_MS
-        for heard in state.heard_by_name.values()
+        for heard in state.received_by_name.values()
     )
     if own_domain_only:
         return direct
@@ -115,7 +115,7 @@
     """Return the peers heard of late that have a newer configuration."""
     return [
         heard.news.peer
-        for heard in state.heard_by_name.values()
+        for heard in state.received_by_name.values()
         if now - heard.at <= ALIVE_MS and heard.news.version > version
     ]
 
@@ -129,16 +129,16 @@
 def _hear(
     state: NewsState, message: NewsArrived, now: Millis, version: int
 ) -> Decision:
-    known = state.heard_by_name.get(message.sender)
+    known = state.received_by_name.get(message.sender)
     news = message.news
     if known is not None and not _is_newer(news, known.news):
         return state, ()
-    heard_by_name = dict(state.heard_by_name)
-    heard_by_name[message.sender] = Heard(news, now)
+    received_by_name = dict(state.received_by_name)
+    received_by_name[message.sender] = ReceivedNews(news, now)
     peers_by_name = dict(state.peers_by_name)
     peers_by_name[message.sender] = news.peer
     after = replace(
-        state, peers_by_name=peers_by_name, heard_by_name=heard_by_name
+        state, peers_by_name=peers_by_name, received_by_name=received_by_name
     )
     actions = (*_take_over(message.sender, news), *_fetch(news, version))
     return after, (*actions, *_avoid(after, news.unreachable, now))
@@ -158,7 +158,7 @@
     ):
         return state, ()
     domains_by_name = dict(state.domains_by_name)
-    domains_by_name[domain] = HeardDomain(news, now)
+    domains_by_name[domain] = ReceivedDomainNews(news, now)
     after = replace(state, domains_by_name=domains_by_name)
     actions = _take_over(f'{DOMAIN_PREFIX}{domain}', news)
     if message.direct:
--- a/src/cartdale/news/domain_publisher.py
+++ b/src/cartdale/news/domain_publisher.py
@@ -11,7 +11,7 @@
 from cartdale.news.decide import ALIVE_MS, count_reporters
 from cartdale.news.limits import merge_limit_news, sum_demand
 from cartdale.news.roles import choose_domain_recipients, is_domain_publisher
-from cartdale.news.types import DomainNews, Heard, NewsState, PeerEntry
+from cartdale.news.types import DomainNews, NewsState, PeerEntry, ReceivedNews
 from cartdale.news.writing import NewsWriter
 from cartdale.peers.authentication import Authenticator
 
@@ -134,14 +134,14 @@
             news, offers=sum_demand((own, *(each.offers for each in alive)))
         )
 
-    def _list_around(self, now: Millis) -> list[Heard]:
+    def _list_around(self, now: Millis) -> list[ReceivedNews]:
         """Return what the instances of this domain told of late."""
-        heard_by_name = self._news.state.heard_by_name
+        received_by_name = self._news.state.received_by_name
         return [
-            heard_by_name[peer.name]
+            received_by_name[peer.name]
             for peer in self._news.list_recipients()
-            if peer.name in heard_by_name
-            and now - heard_by_name[peer.name].at <= ALIVE_MS
+            if peer.name in received_by_name
+            and now - received_by_name[peer.name].at <= ALIVE_MS
         ]
 
     def _count_reporters(self, now: Millis) -> dict[str, int]:
--- a/src/cartdale/news/limits.py
+++ b/src/cartdale/news/limits.py
@@ -8,11 +8,11 @@
 from cartdale.news.decide import ALIVE_MS
 from cartdale.news.roles import is_wide
 from cartdale.news.types import (
-    Heard,
-    HeardDomain,
     LimitNews,
     NewsState,
     PeerEntry,
+    ReceivedDomainNews,
+    ReceivedNews,
 )
 
 #: A message may be on its way for so long. What it tells happened so much
@@ -36,7 +36,7 @@
 
 
 def merge_limit_news(
-    own: Mapping[str, LimitNews], heard: Iterable[Heard], now: Millis
+    own: Mapping[str, LimitNews], heard: Iterable[ReceivedNews], now: Millis
 ) -> dict[str, LimitNews]:
     """Return what the answers to all of a failure domain named."""
     limits_by_upstream = dict(own)
@@ -92,8 +92,10 @@
 def _list_offers(
     state: NewsState, names: Iterable[str], now: Millis
 ) -> dict[str, DemandByService]:
-    heard_by_name = state.heard_by_name
-    return {name: _find_offers(heard_by_name.get(name), now) for name in names}
+    received_by_name = state.received_by_name
+    return {
+        name: _find_offers(received_by_name.get(name), now) for name in names
+    }
 
 
 def _list_domain_offers(
@@ -108,7 +110,7 @@
 
 
 def _find_offers(
-    heard: Heard | HeardDomain | None, now: Millis
+    heard: ReceivedNews | ReceivedDomainNews | None, now: Millis
 ) -> DemandByService:
     """Return what was told of late; ``None`` for nothing."""
     if heard is None or now - heard.at > ALIVE_MS:
--- a/src/cartdale/news/roles.py
+++ b/src/cartdale/news/roles.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 
 from cartdale.clock import MINUTE_MS, Millis
-from cartdale.news.types import Heard, NewsState, PeerEntry
+from cartdale.news.types import NewsState, PeerEntry, ReceivedNews
 
 #: No message from anyone for so long shows that this instance is cut off;
 #: each of the others sends at least every 400 ms in a small system.
@@ -169,19 +169,21 @@
     """Return the peers that are worth a message."""
     reachable: list[PeerEntry] = []
     for name, peer in state.peers_by_name.items():
-        heard = state.heard_by_name.get(name)
+        heard = state.received_by_name.get(name)
         if heard is None or now - heard.at <= FORGET_MS:
             reachable.append(peer)
     return reachable
 
 
-def _list_alive(state: NewsState, own: PeerEntry, now: Millis) -> list[Heard]:
+def _list_alive(
+    state: NewsState, own: PeerEntry, now: Millis
+) -> list[ReceivedNews]:
     """Return what peers told of late; in a large system those around."""
     patience = find_silence_timeout(state, own, now)
     wide = is_wide(state)
     return [
         heard
-        for heard in state.heard_by_name.values()
+        for heard in state.received_by_name.values()
         if now - heard.at <= patience
         and (not wide or heard.news.peer.failure_domain == own.failure_domain)
     ]
@@ -198,7 +200,7 @@
     return [
         peer
         for name, peer in state.peers_by_name.items()
-        if name not in state.heard_by_name
+        if name not in state.received_by_name
         and name != own.name
         and (not wide or peer.failure_domain == own.failure_domain)
     ]
--- a/src/cartdale/news/types.py
+++ b/src/cartdale/news/types.py
@@ -125,7 +125,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
+class ReceivedNews:
     """Hold the last message of a peer."""
 
     news: LoadNews
@@ -133,7 +133,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HeardDomain:
+class ReceivedDomainNews:
     """Hold the last message about a failure domain."""
 
     news: DomainNews
@@ -148,8 +148,8 @@
     """
 
     peers_by_name: dict[str, PeerEntry] = field(default_factory=dict)
-    heard_by_name: dict[str, Heard] = field(default_factory=dict)
-    domains_by_name: dict[str, HeardDomain] = field(default_factory=dict)
+    received_by_name: dict[str, ReceivedNews] = field(default_factory=dict)
+    domains_by_name: dict[str, ReceivedDomainNews] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/gossip.py
+++ b/tests/gossip.py
@@ -10,7 +10,7 @@
     MembershipState,
     MemberStatus,
     Message,
-    NewsHeard,
+    NewsReceived,
     RevisionAdopted,
     RoundBegan,
     Tell,
@@ -39,7 +39,7 @@
     ) -> MembershipState:
         state = MembershipState(own)
         for other in news:
-            state = decide(state, NewsHeard((other,)), 0)[0]
+            state = decide(state, NewsReceived((other,)), 0)[0]
         return state
 
     def run(self, duration: int) -> None:
@@ -68,7 +68,7 @@
         self.hear(name, select_news(self.states[tell.name]))
 
     def hear(self, name: str, news: tuple[MemberNews, ...]) -> None:
-        heard = NewsHeard(news)
+        heard = NewsReceived(news)
         state = decide(self.states[name], heard, self.now)[0]
         self.states[name] = state
         ahead = max(one.revision for one in news)
--- a/tests/test_briefing.py
+++ b/tests/test_briefing.py
@@ -42,8 +42,8 @@
         await until(lambda: stage.runtimes[0].peers.key)
         await add_without_store(stage, SILENT)
         old, new = (runtime.peers.news for runtime in stage.runtimes)
-        await until(lambda: 'entry-1' in old.state.heard_by_name)
-        await until(lambda: 'entry-0' in new.state.heard_by_name)
+        await until(lambda: 'entry-1' in old.state.received_by_name)
+        await until(lambda: 'entry-0' in new.state.received_by_name)
 
 
 async def test_store_goes_on_where_the_briefing_ended() -> None:
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -17,7 +17,7 @@
     Delta,
     DeltasReceived,
     Fetch,
-    RevisionHeard,
+    RevisionAnnounced,
     Snapshot,
     SnapshotReceived,
     digest_bodies,
@@ -60,7 +60,7 @@
 
 
 def test_a_stale_read_changes_nothing() -> None:
-    state, actions = decide(state_at(7), RevisionHeard(2), 0)
+    state, actions = decide(state_at(7), RevisionAnnounced(2), 0)
     assert state.revision == 7
     assert actions == ()
     assert state.stale == 1
@@ -119,7 +119,7 @@
                 Snapshot(at.revision, at.digest, at.bodies_by_key)
             )
         else:
-            message = RevisionHeard(start)
+            message = RevisionAnnounced(start)
         before = state.revision
         state, _ = decide(state, message, 0)
         assert state.revision >= before
--- a/tests/test_domain_news.py
+++ b/tests/test_domain_news.py
@@ -313,7 +313,7 @@
             sent.update(
                 name
                 for each in instances
-                for name in each.exchange.state.heard_by_name
+                for name in each.exchange.state.received_by_name
                 if not name.startswith(each.own.failure_domain)
             )
             nursery.cancel_scope.cancel()
--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -43,7 +43,7 @@
     MemberNews,
     MembershipState,
     MemberStatus,
-    NewsHeard,
+    NewsReceived,
     OwnLeaving,
     PeerSilent,
     RevisionAdopted,
@@ -73,7 +73,7 @@
 def make_members(count: int) -> MembershipState:
     state = MembershipState(make_news(0))
     for number in range(1, count):
-        state = decide(state, NewsHeard((make_news(number),)), 0)[0]
+        state = decide(state, NewsReceived((make_news(number),)), 0)[0]
     return state
 
 
@@ -85,7 +85,7 @@
     state = make_members(3)
     later = silence_limit(state) + 1
     assert alive(state, later) == {'n0'}
-    beat = NewsHeard((make_news(1, beat=2),))
+    beat = NewsReceived((make_news(1, beat=2),))
     state, _ = decide(state, beat, later)
     assert alive(state, later) == {'n0', 'n1'}
 
@@ -93,14 +93,14 @@
 def test_old_news_does_not_revive() -> None:
     state = make_members(2)
     later = silence_limit(state) + 1
-    state, _ = decide(state, NewsHeard((make_news(9), make_news(1))), later)
+    state, _ = decide(state, NewsReceived((make_news(9), make_news(1))), later)
     assert 'n1' not in alive(state, later)
 
 
 def test_a_leaving_member_gets_no_new_work() -> None:
     state = make_members(2)
     leaving = make_news(1, beat=2, status=MemberStatus.LEAVING)
-    state, _ = decide(state, NewsHeard((leaving,)), 0)
+    state, _ = decide(state, NewsReceived((leaving,)), 0)
     assert alive(state) == {'n0'}
     state, tells = decide(state, OwnLeaving(), 0)
     assert alive(state) == set()
@@ -111,9 +111,9 @@
     state = make_members(3)
     state, _ = decide(state, PeerSilent('n1'), 0)
     assert 'n1' not in alive(state)
-    state, _ = decide(state, NewsHeard((make_news(2), make_news(1))), 0)
+    state, _ = decide(state, NewsReceived((make_news(2), make_news(1))), 0)
     assert 'n1' not in alive(state), 'hearsay does not clear a suspicion'
-    state, _ = decide(state, NewsHeard((make_news(1),)), 0)
+    state, _ = decide(state, NewsReceived((make_news(1),)), 0)
     assert 'n1' in alive(state)
 
 
--- a/tests/test_limit_news.py
+++ b/tests/test_limit_news.py
@@ -29,11 +29,11 @@
     write_limit,
 )
 from cartdale.news.types import (
-    Heard,
     LimitNews,
     LoadNews,
     NewsArrived,
     NewsState,
+    ReceivedNews,
     TakeLimit,
 )
 from cartdale.news.writing import NewsWriter
@@ -134,9 +134,11 @@
 def test_a_domain_tells_the_newest_of_what_its_instances_were_named() -> None:
     peer = LoadNews(1, 1, 0, PEERS[1], {})
     heard = [
-        Heard(replace(peer, limits={'a': LimitNews(6, 900, 800)}), 2000),
-        Heard(replace(peer, limits={'b': LimitNews(2, 50, 40)}), 2000),
-        Heard(replace(peer, limits={'a': LimitNews(1.6, 100, 90)}), 1900),
+        ReceivedNews(replace(peer, limits={'a': LimitNews(6, 900, 800)}), 2000),
+        ReceivedNews(replace(peer, limits={'b': LimitNews(2, 50, 40)}), 2000),
+        ReceivedNews(
+            replace(peer, limits={'a': LimitNews(1.6, 100, 90)}), 1900
+        ),
     ]
     own = {'b': LimitNews(9, 900, 800)}
     merged = merge_limit_news(own, heard, 2000)
--- a/tests/test_news.py
+++ b/tests/test_news.py
@@ -128,7 +128,7 @@
 
     first = watchers(0)
     assert len(first) == WATCHERS
-    told = state.heard_by_name[first[0]].news
+    told = state.received_by_name[first[0]].news
     lost = replace(told, number=2, store_lost=True)
     state, _ = hear(state, NewsArrived(first[0], lost), now=10)
     assert len(set(watchers(10)) - {first[0]}) == WATCHERS
