--- a/src/cartdale/news/decide.py
+++ b/src/cartdale/news/decide.py
@@ -8,6 +8,11 @@
 from cartdale.news.roles import SILENT_MS
 from cartdale.news.types import (
     Action,
+    ApplyEntry,
+    ApplyEvacuations,
+    ApplyLeaving,
+    ApplyLimit,
+    ApplyLoads,
     AvoidUpstream,
     Decision,
     DomainNews,
@@ -23,11 +28,6 @@
     PeerRemoved,
     ReceivedDomainNews,
     ReceivedNews,
-    TakeEntry,
-    TakeEvacuations,
-    TakeLeaving,
-    TakeLimit,
-    TakeLoads,
 )
 from cartdale.quarantine.types import CrashesTold
 
@@ -187,21 +187,21 @@
 
 
 def _take_over(teller: str, news: LoadNews | DomainNews) -> tuple[Action, ...]:
-    actions: list[Action] = [TakeLoads(teller, news.loads_by_upstream)]
-    actions.extend(TakeEntry(entry) for entry in news.entries)
+    actions: list[Action] = [ApplyLoads(teller, news.loads_by_upstream)]
+    actions.extend(ApplyEntry(entry) for entry in news.entries)
     actions.extend(
-        TakeLeaving(
+        ApplyLeaving(
             upstream,
             news.births.get(upstream, 0),
-            said=upstream in news.departing,
+            announced=upstream in news.departing,
         )
         for upstream in news.leaving
     )
     actions.extend(
-        TakeLimit(upstream, limit) for upstream, limit in news.limits.items()
+        ApplyLimit(upstream, limit) for upstream, limit in news.limits.items()
     )
     if news.evacuations:
-        actions.append(TakeEvacuations(news.evacuations))
+        actions.append(ApplyEvacuations(news.evacuations))
     if news.crashes:
         actions.append(CrashesTold(news.crashes))
     return tuple(actions)
--- a/src/cartdale/news/driver.py
+++ b/src/cartdale/news/driver.py
@@ -35,6 +35,11 @@
     stretch,
 )
 from cartdale.news.types import (
+    ApplyEntry,
+    ApplyEvacuations,
+    ApplyLeaving,
+    ApplyLimit,
+    ApplyLoads,
     AvoidUpstream,
     DomainNews,
     DomainNewsArrived,
@@ -45,11 +50,6 @@
     NewsArrived,
     NewsState,
     PeerEntry,
-    TakeEntry,
-    TakeEvacuations,
-    TakeLeaving,
-    TakeLimit,
-    TakeLoads,
 )
 from cartdale.news.writing import DOMAIN_KIND, NEWS_KIND, NewsWriter
 from cartdale.peers.authentication import Authenticator, Envelope
@@ -117,13 +117,13 @@
         self.state = after
         for action in actions:
             match action:
-                case TakeLoads(peer=peer, loads_by_upstream=loads_by_upstream):
+                case ApplyLoads(peer=peer, loads_by_upstream=loads_by_upstream):
                     self._take_loads(peer, loads_by_upstream)
-                case TakeEntry(entry=entry):
+                case ApplyEntry(entry=entry):
                     self._fleet.dispatch(EntryWritten(entry, from_peer=True))
-                case TakeLeaving() | TakeLimit():
+                case ApplyLeaving() | ApplyLimit():
                     self._take_statement(action)
-                case TakeEvacuations(evacuations=evacuations):
+                case ApplyEvacuations(evacuations=evacuations):
                     self._fleet.dispatch(EvacuationsReceived(evacuations))
                 case CrashesTold():
                     self._fleet.quarantine.tell(action)
@@ -201,17 +201,17 @@
             nursery.start_soon(self._send)
             nursery.start_soon(self._domain_publisher.run)
 
-    def _take_statement(self, told: TakeLeaving | TakeLimit) -> None:
+    def _take_statement(self, told: ApplyLeaving | ApplyLimit) -> None:
         match told:
-            case TakeLeaving(upstream=name, born=born, said=True):
+            case ApplyLeaving(upstream=name, born=born, announced=True):
                 self._fleet.dispatch(
                     LeavingAnnounced(name, from_peer=True, born=born)
                 )
-            case TakeLeaving(upstream=name, born=born):
+            case ApplyLeaving(upstream=name, born=born):
                 self._fleet.dispatch(
                     EntryRemoved(name, from_peer=True, born=born)
                 )
-            case TakeLimit(upstream=name, news=news):
+            case ApplyLimit(upstream=name, news=news):
                 limit = read_limit(news, self._clock.now())
                 self._fleet.dispatch(LimitAdvertised(name, limit, news.born))
 
--- a/src/cartdale/news/types.py
+++ b/src/cartdale/news/types.py
@@ -187,7 +187,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TakeLoads:
+class ApplyLoads:
     """Replace what a peer, or all of a failure domain, has running."""
 
     peer: str
@@ -195,20 +195,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TakeLeaving:
+class ApplyLeaving:
     """Take over that an upstream leaves.
 
     :param born: start of the life that leaves; 0 when that is not told.
-    :param said: whether it said so itself.
+    :param announced: whether it said so itself.
     """
 
     upstream: str
     born: Millis = 0
-    said: bool = False
+    announced: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class TakeLimit:
+class ApplyLimit:
     """Take over which rate limit an upstream named."""
 
     upstream: str
@@ -216,14 +216,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TakeEntry:
+class ApplyEntry:
     """Take over what an upstream wrote of itself."""
 
     entry: UpstreamEntry
 
 
 @dataclass(frozen=True, slots=True)
-class TakeEvacuations:
+class ApplyEvacuations:
     """Take over what is newer of the evacuations that a peer knows."""
 
     evacuations: tuple[Evacuation, ...]
@@ -250,11 +250,11 @@
 
 Message = PeerListed | PeerRemoved | NewsArrived | DomainNewsArrived
 Action = (
-    TakeLoads
-    | TakeLeaving
-    | TakeLimit
-    | TakeEntry
-    | TakeEvacuations
+    ApplyLoads
+    | ApplyLeaving
+    | ApplyLimit
+    | ApplyEntry
+    | ApplyEvacuations
     | CrashesTold
     | AvoidUpstream
     | FetchTable
--- a/tests/test_domain_news.py
+++ b/tests/test_domain_news.py
@@ -30,6 +30,8 @@
     list_recipients,
 )
 from cartdale.news.types import (
+    ApplyLeaving,
+    ApplyLoads,
     AvoidUpstream,
     DomainNews,
     DomainNewsArrived,
@@ -40,8 +42,6 @@
     NewsState,
     PeerEntry,
     PeerListed,
-    TakeLeaving,
-    TakeLoads,
 )
 from cartdale.peers.authentication import Authenticator
 
@@ -197,8 +197,8 @@
     state, actions = decide(make_state(), arrived, 0, 0)
     assert actions == (
         ForwardNews(),
-        TakeLoads(f'{DOMAIN_PREFIX}north', {'u': Load(runs=5)}),
-        TakeLeaving('x'),
+        ApplyLoads(f'{DOMAIN_PREFIX}north', {'u': Load(runs=5)}),
+        ApplyLeaving('x'),
     )
     assert decide(state, arrived, 0, 0) == (state, ())
     again = replace(arrived, news=make_news(number=2), direct=False)
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -32,13 +32,13 @@
 )
 from cartdale.news.decide import decide as decide_news
 from cartdale.news.types import (
+    ApplyEvacuations,
     DomainNews,
     DomainNewsArrived,
     LoadNews,
     NewsArrived,
     NewsState,
     PeerEntry,
-    TakeEvacuations,
 )
 from cartdale.platform.translate import translate
 from cartdale.relay.admission import Admission, NoCapacity, Waiting
@@ -212,11 +212,11 @@
     news = LoadNews(1, 1, 0, peer, {}, evacuations=(BEGUN,))
     sent = decode_binary(encode_binary(news), LoadNews)
     _, actions = decide_news(NewsState(), NewsArrived('p', sent), 0, 0)
-    assert TakeEvacuations((BEGUN,)) in actions
+    assert ApplyEvacuations((BEGUN,)) in actions
     domain = DomainNews(1, 1, 0, peer, 1, {}, evacuations=(BEGUN,))
     arrived = DomainNewsArrived(domain, direct=False)
     _, actions = decide_news(NewsState(), arrived, 0, 0)
-    assert TakeEvacuations((BEGUN,)) in actions
+    assert ApplyEvacuations((BEGUN,)) in actions
 
 
 def test_briefing_tells_a_new_instance() -> None:
--- a/tests/test_heard_departures.py
+++ b/tests/test_heard_departures.py
@@ -34,11 +34,11 @@
 )
 from cartdale.news.decide import decide as decide_news
 from cartdale.news.types import (
+    ApplyLeaving,
     LoadNews,
     NewsArrived,
     NewsState,
     PeerEntry,
-    TakeLeaving,
 )
 from cartdale.news.writing import NewsWriter
 from cartdale.peers.authentication import Authenticator
@@ -173,7 +173,7 @@
     envelope = authenticator.verify(writer.write(authenticator), clock.wall())
     news = decode_binary(bytes(envelope.body), LoadNews)
     _, actions = decide_news(NewsState(), NewsArrived('p', news), 0, 0)
-    assert TakeLeaving('a', 1, said=True) in actions
+    assert ApplyLeaving('a', 1, announced=True) in actions
     told = decide(
         make_fleet('a', born=1), make_said(from_peer=True, born=1), 0
     )[0]
--- a/tests/test_limit_news.py
+++ b/tests/test_limit_news.py
@@ -29,12 +29,12 @@
     write_limit,
 )
 from cartdale.news.types import (
+    ApplyLimit,
     LimitNews,
     LoadNews,
     NewsArrived,
     NewsState,
     ReceivedNews,
-    TakeLimit,
 )
 from cartdale.news.writing import NewsWriter
 from cartdale.peers.authentication import Authenticator
@@ -72,7 +72,7 @@
         news = decode_binary(bytes(envelope.body), LoadNews)
         assert news.limits == {'a': LimitNews(limit, 40, 0, 1)}
         _, actions = decide_news(NewsState(), NewsArrived('p', news), 0, 0)
-        assert TakeLimit('a', news.limits['a']) in actions
+        assert ApplyLimit('a', news.limits['a']) in actions
         named = read_limit(news.limits['a'], clock.now())
         known, actions = decide(
             known, LimitAdvertised('a', named, 1), clock.now()
--- a/tests/test_news.py
+++ b/tests/test_news.py
@@ -20,6 +20,9 @@
     list_recipients,
 )
 from cartdale.news.types import (
+    ApplyEntry,
+    ApplyLeaving,
+    ApplyLoads,
     AvoidUpstream,
     FetchTable,
     LoadNews,
@@ -28,9 +31,6 @@
     PeerEntry,
     PeerListed,
     PeerRemoved,
-    TakeEntry,
-    TakeLeaving,
-    TakeLoads,
 )
 
 PEER = PeerEntry('p', '10.0.0.1', 7200)
@@ -48,16 +48,16 @@
 
 def test_older_messages_change_nothing() -> None:
     state, actions = hear(NewsState(), make_news(5))
-    assert actions == (TakeLoads('p', {'u': Load(runs=5)}),)
+    assert actions == (ApplyLoads('p', {'u': Load(runs=5)}),)
     assert hear(state, make_news(4)) == (state, ())
     assert hear(state, make_news(5)) == (state, ())
     _, actions = hear(state, make_news(1, boot=2))
-    assert actions == (TakeLoads('p', {'u': Load(runs=1)}),)
+    assert actions == (ApplyLoads('p', {'u': Load(runs=1)}),)
 
 
 def test_leaving_upstreams_are_taken_over() -> None:
     _, actions = hear(NewsState(), make_news(1, leaving=('x', 'y')))
-    assert actions[1:] == (TakeLeaving('x'), TakeLeaving('y'))
+    assert actions[1:] == (ApplyLeaving('x'), ApplyLeaving('y'))
 
 
 def test_newer_configuration_is_fetched_from_its_holder() -> None:
@@ -138,7 +138,7 @@
 def test_entries_travel_in_news() -> None:
     entry = UpstreamEntry('i', 's', 'a:1', 'west', 4)
     _, actions = hear(NewsState(), make_news(1, entries=(entry,)))
-    assert actions[1] == TakeEntry(entry)
+    assert actions[1] == ApplyEntry(entry)
 
 
 def test_what_several_can_not_reach_is_avoided() -> None:
--- a/tests/test_upstream_lives.py
+++ b/tests/test_upstream_lives.py
@@ -22,11 +22,11 @@
 )
 from cartdale.news.decide import decide as decide_news
 from cartdale.news.types import (
+    ApplyLeaving,
     LoadNews,
     NewsArrived,
     NewsState,
     PeerEntry,
-    TakeLeaving,
 )
 from cartdale.news.writing import NewsWriter
 from cartdale.peers.authentication import Authenticator
@@ -108,7 +108,7 @@
     envelope = authenticator.verify(writer.write(authenticator), 0)
     news = decode_binary(bytes(envelope.body), LoadNews)
     _, actions = decide_news(NewsState(), NewsArrived('p', news), 0, 0)
-    assert TakeLeaving('a', 1) in actions
+    assert ApplyLeaving('a', 1) in actions
 
 
 def test_an_upstream_that_says_it_leaves_is_told_as_an_entry() -> None:
