--- a/src/cartdale/callers/plain.py
+++ b/src/cartdale/callers/plain.py
@@ -31,7 +31,7 @@
 )
 from cartdale.quarantine.driver import Quarantine
 from cartdale.quarantine.identity import Identity, identify
-from cartdale.quarantine.watching import RequestWatch
+from cartdale.quarantine.run_tracking import RunTracker
 from cartdale.retries.backoffs import BackoffTracker
 from cartdale.retries.decide import RetryBudget
 
@@ -107,7 +107,7 @@
         return answer_problem(_not_run())
 
     async def _run(self, call: PlainCall, grant: Grant) -> Response:
-        watch = RequestWatch(
+        watch = RunTracker(
             self._ports.quarantine, _identify(call), call.request.key
         )
         attempted = await self._attempt_all(call, grant, watch)
@@ -132,7 +132,7 @@
         return NotRun(NotRunReason.REFUSED, wait)
 
     async def _attempt_all(
-        self, call: PlainCall, grant: Grant, watch: RequestWatch
+        self, call: PlainCall, grant: Grant, watch: RunTracker
     ) -> _Attempted:
         ever_sent = False
         may_repeat = call.service.repeat is Repeat.ALLOWED
@@ -152,7 +152,7 @@
         return _Attempted(None, ever_sent)
 
     def _may_attempt(
-        self, call: PlainCall, name: str, watch: RequestWatch, *, first: bool
+        self, call: PlainCall, name: str, watch: RunTracker, *, first: bool
     ) -> bool:
         """Tell whether an attempt may be made; a repeat is paid for."""
         if watch.find_refusal() is not None:
@@ -160,7 +160,7 @@
         return first or self._ports.budget.withdraw(call.caller.name, name)
 
     async def _attempt(
-        self, call: PlainCall, name: str, grant: Grant, watch: RequestWatch
+        self, call: PlainCall, name: str, grant: Grant, watch: RunTracker
     ) -> _Attempted:
         upstream = self._ports.upstream_of(name)
         if upstream is None or upstream.draining:
--- a/src/cartdale/daemon/gateway.py
+++ b/src/cartdale/daemon/gateway.py
@@ -284,7 +284,7 @@
             len(self.fleet.list_evacuated()),
             count_cold(self.fleet.state, self._clock.now()),
             self.fleet.cold_gate.sent,
-            self.fleet.quarantine.count_held(),
+            self.fleet.quarantine.count_quarantined(),
             *count_unavailable(self.fleet.state, self._clock.now()),
             permitted=self.fleet.limits.gate.count_rate(),
             withheld=self.fleet.limits.gate.withheld,
--- a/src/cartdale/daemon/peers.py
+++ b/src/cartdale/daemon/peers.py
@@ -31,7 +31,7 @@
     decode_document,
 )
 from cartdale.platform.translate import read_table
-from cartdale.quarantine.lasting import LastingQuarantine
+from cartdale.quarantine.persistence import PersistentQuarantine
 from cartdale.store.types import LeasedStore
 
 #: Longest wait for the store when this instance takes itself off the list.
@@ -80,7 +80,7 @@
             self._read_after_listing,
             self._write_again,
         )
-        self._lasting = LastingQuarantine(store, fleet.quarantine, clock)
+        self._lasting = PersistentQuarantine(store, fleet.quarantine, clock)
         self._generator = random.Random(zlib.crc32(own.name.encode()))
         self._clock = clock
         self._fleet = fleet
@@ -118,7 +118,7 @@
         """Take what instances wrote for each other in the store."""
         if change.key == KEY_NAME and change.stored:
             self.take_key(change.stored)
-        self._lasting.take(change.key, change.stored)
+        self._lasting.restore(change.key, change.stored)
         if not change.key.startswith(PEER_PREFIX):
             return
         if not change.stored:
--- a/src/cartdale/quarantine/decide.py
+++ b/src/cartdale/quarantine/decide.py
@@ -40,12 +40,12 @@
 #: Upstreams that may end under a request before it is refused. One ends for
 #: reasons of its own; two that do under the same request, one after the
 #: other, are chance where many end; platforms allow three.
-MOST_ENDED = 3
+CRASHES_TO_QUARANTINE = 3
 #: Events after which a run is past its beginning, and its request cleared: a
 #: request that an upstream can't bear ends it while its prompt is read or its
 #: first tokens are made. What an upstream dies of later takes everyone with
 #: it, most of them long past this.
-PAST_BEGINNING = 10
+EVENTS_PAST_START = 10
 #: Requests with evidence that are remembered, about 1 KB each. One engine
 #: that ends leaves evidence against as many as it had slots.
 MOST_IDENTITIES = 1024
@@ -73,7 +73,7 @@
 
 def is_quarantined(state: QuarantineState, identity: Identity) -> bool:
     """Tell whether a request is sent to no upstream any more."""
-    return len(list_crashes(state, identity)) >= MOST_ENDED
+    return len(list_crashes(state, identity)) >= CRASHES_TO_QUARANTINE
 
 
 def find_end(state: QuarantineState, identity: Identity) -> Millis:
--- a/src/cartdale/quarantine/driver.py
+++ b/src/cartdale/quarantine/driver.py
@@ -11,15 +11,15 @@
 from cartdale.clock import SECOND_MS, Clock, Millis
 from cartdale.problems.types import NotRun, NotRunReason
 from cartdale.quarantine.decide import (
-    MOST_ENDED,
-    PAST_BEGINNING,
+    CRASHES_TO_QUARANTINE,
+    EVENTS_PAST_START,
     decide,
     find_end,
     is_quarantined,
     list_crashes,
 )
 from cartdale.quarantine.identity import Identity
-from cartdale.quarantine.telling import describe, select_news
+from cartdale.quarantine.publishing import describe, select_news
 from cartdale.quarantine.types import (
     Action,
     CrashesTold,
@@ -132,13 +132,15 @@
         """Return the requests of which something would be cancelled."""
         return tuple(self._guards_by_identity)
 
-    def holds(self, identity: Identity) -> bool:
+    def is_quarantined(self, identity: Identity) -> bool:
         """Tell whether a request is sent to no upstream any more."""
         return is_quarantined(self.state, identity)
 
-    def suspects(self, identity: Identity) -> bool:
+    def is_suspect(self, identity: Identity) -> bool:
         """Tell whether one more crash quarantines a request, or has."""
-        return len(list_crashes(self.state, identity)) >= MOST_ENDED - 1
+        return (
+            len(list_crashes(self.state, identity)) >= CRASHES_TO_QUARANTINE - 1
+        )
 
     def time_left(self, identity: Identity) -> Millis:
         """Return how long a request stays quarantined without new evidence."""
@@ -148,7 +150,7 @@
         self, identity: Identity, request_id: str
     ) -> NotRun | None:
         """Return why a request is sent to no upstream, if it is not."""
-        if not self.holds(identity):
+        if not self.is_quarantined(identity):
             return None
         return self.refuse(identity, request_id)
 
@@ -169,19 +171,19 @@
         crashes = list_crashes(self.state, identity)
         return tuple(each.crash.upstream for each in crashes)
 
-    def count_held(self) -> int:
+    def count_quarantined(self) -> int:
         """Return how many requests are quarantined."""
-        return sum(map(self.holds, self.state.records_by_identity))
+        return sum(map(self.is_quarantined, self.state.records_by_identity))
 
-    def accuse(self, ended: UpstreamEnded, events: int) -> None:
+    def record_crash(self, ended: UpstreamEnded, events: int) -> None:
         """Take an upstream's end as evidence, unless the run went on there.
 
         :param events: that had come of the run.
         """
-        if events <= PAST_BEGINNING:
+        if events <= EVENTS_PAST_START:
             self.tell(ended)
 
-    def acquit(self, identity: Identity) -> None:
+    def record_survival(self, identity: Identity) -> None:
         """Note that a request ran without ending its upstream."""
         now = self._clock.now()
         self._ran_at_by_identity[identity] = now
@@ -216,7 +218,7 @@
     def _act(self, action: Action, cause: Message) -> None:
         """Act on what follows from a message, unless that was cleared."""
         identity = action.identity
-        if isinstance(action, Quarantined) is not self.holds(identity):
+        if isinstance(action, Quarantined) is not self.is_quarantined(identity):
             return
         if isinstance(cause, UpstreamEnded | RanOn) and self.on_found:
             self.on_found(identity)
--- a/src/cartdale/quarantine/lasting.py
+++ b/src/cartdale/quarantine/persistence.py
@@ -39,7 +39,7 @@
     crashes: tuple[CrashNews, ...]
 
 
-class LastingQuarantine:
+class PersistentQuarantine:
     """Write to the store what this instance found out, and read it.
 
     :param store: where it lasts.
@@ -69,7 +69,7 @@
         for identity in sorted(self._written):
             self._add(identity)
 
-    def take(self, key: str, stored: bytes) -> None:
+    def restore(self, key: str, stored: bytes) -> None:
         """Take what an instance wrote.
 
         Where it is known by now that the request ran on, what was written is
@@ -88,7 +88,7 @@
         crashes = tuple(_grow_older(each, passed) for each in record.crashes)
         self._quarantine.tell(CrashesTold(crashes))
         for identity in sorted({each.identity for each in crashes}):
-            if not self._quarantine.holds(identity):
+            if not self._quarantine.is_quarantined(identity):
                 self._add(identity)
 
     def _add(self, identity: Identity) -> None:
@@ -100,7 +100,7 @@
     async def _write(self, identity: Identity) -> bool:
         """Write how a request stands now; tell whether the store took it."""
         key = f'{PREFIX}{identity.hex()}'
-        if not self._quarantine.holds(identity):
+        if not self._quarantine.is_quarantined(identity):
             self._written.discard(identity)
             removed = await self._store.transact((), (Delete(key),))
             return isinstance(removed, Success)
--- a/src/cartdale/quarantine/watching.py
+++ b/src/cartdale/quarantine/run_tracking.py
@@ -7,7 +7,7 @@
 from cartdale.quarantine.types import Crash, UpstreamEnded
 
 
-class RequestWatch:
+class RunTracker:
     """Tell the quarantine of a request's runs, one after another.
 
     :param name: of the request, for logs.
@@ -37,8 +37,8 @@
         """
         crash = Crash(self._identity, upstream)
         ended = UpstreamEnded(crash, self._sent_at, begun=True)
-        self._quarantine.accuse(ended, begun)
+        self._quarantine.record_crash(ended, begun)
 
     def note_ran_on(self) -> None:
         """Note that the run was answered, or is past its beginning."""
-        self._quarantine.acquit(self._identity)
+        self._quarantine.record_survival(self._identity)
--- a/src/cartdale/relay/crash_probes.py
+++ b/src/cartdale/relay/crash_probes.py
@@ -81,7 +81,7 @@
 
         An attempt that follows at once would otherwise go ahead of it.
         """
-        if not self._fleet.quarantine.suspects(identity):
+        if not self._fleet.quarantine.is_suspect(identity):
             return
         for held in tuple(self._inquests_by_upstream.values()):
             if any(link.identity == identity for link in held.links):
@@ -120,4 +120,4 @@
         upstream = link.upstream
         crash = Crash(link.identity, upstream.upstream, upstream.born)
         ended = UpstreamEnded(crash, link.sent_at, link.begun)
-        self._fleet.quarantine.accuse(ended, link.events)
+        self._fleet.quarantine.record_crash(ended, link.events)
--- a/src/cartdale/relay/links.py
+++ b/src/cartdale/relay/links.py
@@ -2,7 +2,7 @@
 
 from cartdale.clock import Millis
 from cartdale.fleet.types import UpstreamEntry
-from cartdale.quarantine.decide import PAST_BEGINNING
+from cartdale.quarantine.decide import EVENTS_PAST_START
 from cartdale.relay.crash_probes import BrokenLink
 from cartdale.relay.ports import RelayPorts
 from cartdale.relay.types import RoutedRequest
@@ -36,7 +36,7 @@
     def note_event(self) -> None:
         """Note that an event came."""
         self._events += 1
-        if self._events == PAST_BEGINNING + 1:
+        if self._events == EVENTS_PAST_START + 1:
             self._acquit()
 
     def note_whole(self, *, framed: bool, good: bool) -> None:
@@ -68,4 +68,4 @@
         )
 
     def _acquit(self) -> None:
-        self._ports.fleet.quarantine.acquit(self._routed.identity)
+        self._ports.fleet.quarantine.record_survival(self._routed.identity)
--- a/src/cartdale/streams/driver.py
+++ b/src/cartdale/streams/driver.py
@@ -18,8 +18,8 @@
     NotRunReason,
     Problem,
 )
-from cartdale.quarantine.decide import PAST_BEGINNING
-from cartdale.quarantine.watching import RequestWatch
+from cartdale.quarantine.decide import EVENTS_PAST_START
+from cartdale.quarantine.run_tracking import RunTracker
 from cartdale.routing.types import Work
 from cartdale.streams.answers import (
     Batch,
@@ -82,7 +82,7 @@
         self._link = Link()
         self._ready: list[Chunk] = []
         self._last: Completed | Broken | None = None
-        self._watch = RequestWatch(
+        self._watch = RunTracker(
             ports.quarantine, asked.identity, asked.generation.generation
         )
         self._meter = ports.recorder.make_meter(
@@ -227,7 +227,7 @@
         )
         if after.received > self.state.received:
             self._prefix.add(read_text(event.payload))
-            if after.received == PAST_BEGINNING + 1:
+            if after.received == EVENTS_PAST_START + 1:
                 self._watch.note_ran_on()
         self.state = after
         for action in actions:
--- a/tests/fault_soak/deadly.py
+++ b/tests/fault_soak/deadly.py
@@ -23,7 +23,7 @@
 
 
 #: Upstreams that may end under a request before it is refused everywhere.
-MOST_ENDED = 3
+CRASHES_TO_QUARANTINE = 3
 
 
 @dataclass
@@ -55,9 +55,11 @@
             for each in self.submissions
             for at in ends_by_name.get(each.name, ())
         )
-        if len(ends) < MOST_ENDED:
+        if len(ends) < CRASHES_TO_QUARANTINE:
             return 0
-        known = ends[MOST_ENDED - 1] + CONTACT_SECONDS + SLACK_SECONDS
+        known = (
+            ends[CRASHES_TO_QUARANTINE - 1] + CONTACT_SECONDS + SLACK_SECONDS
+        )
         return sum(
             len(ends_by_name.get(each.name, ()))
             for each in self.submissions
--- a/tests/fault_soak/mutants.py
+++ b/tests/fault_soak/mutants.py
@@ -78,7 +78,7 @@
 
 def ignore_quarantine() -> None:
     """Send requests that end upstreams to the next."""
-    Quarantine.holds = lambda *_: False
+    Quarantine.is_quarantined = lambda *_: False
 
 
 def ignore_word() -> None:
--- a/tests/load/test_crash_news.py
+++ b/tests/load/test_crash_news.py
@@ -8,7 +8,7 @@
 import pytest
 import trio
 
-from cartdale.quarantine.decide import MOST_ENDED
+from cartdale.quarantine.decide import CRASHES_TO_QUARANTINE
 from cartdale.quarantine.types import Crash, RanOn, UpstreamEnded
 from tests.load.fleet import FleetInstance
 from tests.load.test_news_age import KNOWN_ELSEWHERE, measure
@@ -20,7 +20,7 @@
 
 
 def holds(each: FleetInstance) -> bool:
-    return each.fleet.quarantine.holds(IDENTITY)
+    return each.fleet.quarantine.is_quarantined(IDENTITY)
 
 
 def is_free(each: FleetInstance) -> bool:
@@ -33,7 +33,7 @@
 ) -> None:
     async with run_fleet(count) as fleet:
         fleet.take_calls()
-        for number, each in enumerate(fleet.instances[:MOST_ENDED]):
+        for number, each in enumerate(fleet.instances[:CRASHES_TO_QUARANTINE]):
             crash = Crash(IDENTITY, f'engine-{number}', 1)
             each.fleet.quarantine.tell(UpstreamEnded(crash))
         assert await measure(fleet.instances, holds) <= KNOWN_EVERYWHERE
@@ -49,7 +49,7 @@
     async with run_fleet(count) as fleet:
         seen = fleet.instances[0].fleet.quarantine
         before = fleet.state.revision
-        for number in range(MOST_ENDED):
+        for number in range(CRASHES_TO_QUARANTINE):
             crash = Crash(IDENTITY, f'engine-{number}', 1)
             seen.tell(UpstreamEnded(crash))
         await measure(fleet.instances, holds)
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -16,7 +16,7 @@
 from cartdale.fleet.types import EntryRemoved
 from cartdale.quarantine.driver import Quarantine
 from cartdale.quarantine.evidence import KEPT
-from cartdale.quarantine.lasting import LastingQuarantine
+from cartdale.quarantine.persistence import PersistentQuarantine
 from cartdale.quarantine.types import Crash, UpstreamEnded
 from cartdale.switches import Mechanism, Switches
 from cartdale_standins.platform_store import PlatformStoreFaults
@@ -35,7 +35,7 @@
 
 DEADLY = b'a brief that ends engines'
 #: Upstreams that a request may end before it is refused.
-MOST_ENDED = 3
+CRASHES_TO_QUARANTINE = 3
 
 
 def list_lasting(stage: PlatformStage) -> list[str]:
@@ -101,7 +101,7 @@
 async def test_stream_that_ends_its_engines_is_sent_no_more() -> None:
     async with open_platform(engines=5, instances=2, proxied=True) as stage:
         answers = await ask_again_and_again(stage, '/draft/a')
-        assert count_ends(stage) == MOST_ENDED
+        assert count_ends(stage) == CRASHES_TO_QUARANTINE
         last = answers[-1]
         assert last is not None
         assert last.status_code == 503
@@ -112,7 +112,7 @@
     for path, method in (('/look/a', 'GET'), ('/cut/a', 'POST')):
         async with open_platform(plains=5, instances=2, proxied=True) as stage:
             answers = await ask_again_and_again(stage, path, method)
-            assert count_ends(stage) == MOST_ENDED
+            assert count_ends(stage) == CRASHES_TO_QUARANTINE
             assert answers[-1].status_code == 503
             other = await stage.client.request(
                 method, stage.url(path), headers=make_headers('r1')
@@ -123,7 +123,7 @@
 async def test_resumed_stream_that_ends_its_engines_is_sent_no_more() -> None:
     async with open_platform(engines=5, instances=2, proxied=True) as stage:
         answers = await ask_again_and_again(stage, '/tag/a')
-        assert count_ends(stage) == MOST_ENDED
+        assert count_ends(stage) == CRASHES_TO_QUARANTINE
         assert answers[-1].status_code == 503
 
 
@@ -150,7 +150,7 @@
         ]
         # Each was sent twice; the fourth send found the request quarantined.
         assert [each.status_code for each in answers] == [502, 502]
-        assert count_ends(stage) == MOST_ENDED
+        assert count_ends(stage) == CRASHES_TO_QUARANTINE
 
 
 async def test_an_instance_that_starts_later_knows_it() -> None:
@@ -159,10 +159,10 @@
         stage.add_instance()
         await stage.settle()
         newcomer = stage.runtimes[-1].fleet.quarantine
-        await until(newcomer.count_held)
+        await until(newcomer.count_quarantined)
         refused = await ask_deadly(stage, 2, '/draft/a')
         assert refused.status_code == 503
-        assert count_ends(stage) == MOST_ENDED
+        assert count_ends(stage) == CRASHES_TO_QUARANTINE
 
 
 async def test_others_on_the_same_engines_are_not_blamed() -> None:
@@ -171,7 +171,7 @@
             await find_runner(stage, 'r1')
             await ask_again_and_again(stage, '/draft/a')
         quarantine = stage.runtimes[0].fleet.quarantine
-        assert quarantine.count_held() == 1
+        assert quarantine.count_quarantined() == 1
         again = await draft(stage, 'r2')
         assert again.content == whole('r2')
         assert len(answers) <= 1
@@ -231,7 +231,7 @@
         stage.add_instance(switches=switches)
         await stage.settle()
         await ask_again_and_again(stage, '/draft/a')
-        assert count_ends(stage) > MOST_ENDED
+        assert count_ends(stage) > CRASHES_TO_QUARANTINE
 
 
 async def test_it_is_known_after_all_instances_were_lost() -> None:
@@ -248,7 +248,7 @@
         refused = await ask_deadly(stage, 99, '/draft/a')
         assert refused.status_code == 503
         assert b'upstreams ended' in refused.content
-        assert count_ends(stage) == MOST_ENDED
+        assert count_ends(stage) == CRASHES_TO_QUARANTINE
 
 
 async def test_one_call_to_the_store_makes_it_last() -> None:
@@ -259,9 +259,9 @@
         assert len(list_lasting(stage)) == 1
         quarantine = stage.runtimes[0].fleet.quarantine
         identity = next(iter(quarantine.state.records_by_identity))
-        quarantine.acquit(identity)
+        quarantine.record_survival(identity)
         await until(lambda: not list_lasting(stage))
-        assert not stage.runtimes[1].fleet.quarantine.count_held()
+        assert not stage.runtimes[1].fleet.quarantine.count_quarantined()
 
 
 async def test_a_store_that_is_away_is_told_later() -> None:
@@ -296,7 +296,7 @@
             await ask_deadly(stage, number, '/cut/a')
             await until(are_all_up)
         assert sick.runs_by_request
-        assert count_ends(stage) == MOST_ENDED
+        assert count_ends(stage) == CRASHES_TO_QUARANTINE
 
 
 async def test_what_ran_on_after_all_is_not_read_back() -> None:
@@ -306,8 +306,8 @@
         stage.store.faults = PlatformStoreFaults(busy=True)
         first, other = (each.fleet.quarantine for each in stage.runtimes)
         identity = next(iter(first.state.records_by_identity))
-        other.acquit(identity)
-        await until(lambda: not first.count_held())
+        other.record_survival(identity)
+        await until(lambda: not first.count_quarantined())
         # Both are lost before the store could be told.
         for scope in stage.scopes:
             scope.cancel()
@@ -316,10 +316,10 @@
         stage.runtimes.clear()
         stage.store.faults = PlatformStoreFaults()
         runtime = stage.add_instance()
-        runtime.fleet.quarantine.acquit(identity)
+        runtime.fleet.quarantine.record_survival(identity)
         await stage.settle()
         await until(lambda: not list_lasting(stage))
-        assert not runtime.fleet.quarantine.count_held()
+        assert not runtime.fleet.quarantine.count_quarantined()
 
 
 async def test_ages_in_the_store_go_on() -> None:
@@ -328,7 +328,7 @@
         await until(lambda: list_lasting(stage))
         quarantine = Quarantine(VirtualClock(), print)
         clock = VirtualClock(epoch=SystemClock().wall() + KEPT)
-        lasting = LastingQuarantine(None, quarantine, clock)
+        lasting = PersistentQuarantine(None, quarantine, clock)
         entry = stage.store.state.find(list_lasting(stage)[0])
-        lasting.take(entry.key, entry.value)
+        lasting.restore(entry.key, entry.value)
         assert not quarantine.state.records_by_identity
--- a/tests/test_quarantine_evidence.py
+++ b/tests/test_quarantine_evidence.py
@@ -13,7 +13,7 @@
 from cartdale.news.decide import decide as decide_news
 from cartdale.news.types import LoadNews, NewsArrived, NewsState, PeerEntry
 from cartdale.quarantine.decide import (
-    MOST_ENDED,
+    CRASHES_TO_QUARANTINE,
     MOST_IDENTITIES,
     decide,
     is_quarantined,
@@ -21,7 +21,7 @@
 )
 from cartdale.quarantine.driver import MOST_RAN, Quarantine
 from cartdale.quarantine.evidence import KEPT, RAN_LATELY
-from cartdale.quarantine.telling import PAGE, select_news
+from cartdale.quarantine.publishing import PAGE, select_news
 from cartdale.quarantine.types import (
     Crash,
     CrashesTold,
@@ -75,7 +75,7 @@
 
 def test_an_upstream_that_came_back_counts_again() -> None:
     state = QuarantineState()
-    for born in range(1, 1 + MOST_ENDED):
+    for born in range(1, 1 + CRASHES_TO_QUARANTINE):
         ended = UpstreamEnded(Crash(ONE, 'a', born))
         state, _ = decide(state, ended, born)
     assert is_quarantined(state, ONE)
@@ -258,7 +258,7 @@
     before = fleet.quarantine.version
     fleet.quarantine.tell(UpstreamEnded(Crash(ONE, 'a', 1)))
     assert fleet.quarantine.version == before + 1
-    fleet.quarantine.acquit(OTHER)
+    fleet.quarantine.record_survival(OTHER)
     assert fleet.quarantine.version == before + 1
 
 
@@ -266,13 +266,13 @@
     """Of all requests for one thing some run on each upstream that ends."""
     clock = VirtualClock()
     quarantine = Quarantine(clock, print)
-    quarantine.acquit(ONE)
+    quarantine.record_survival(ONE)
     for name in ('a', 'b', 'c', 'd'):
         clock.advance(SECOND_MS)
         quarantine.tell(UpstreamEnded(Crash(ONE, name, 1)))
         quarantine.tell(UpstreamEnded(Crash(OTHER, name, 1)))
-    assert not quarantine.holds(ONE)
-    assert quarantine.holds(OTHER)
+    assert not quarantine.is_quarantined(ONE)
+    assert quarantine.is_quarantined(OTHER)
 
 
 def test_the_oldest_evidence_makes_way() -> None:
@@ -288,22 +288,22 @@
 async def test_a_peer_that_saw_it_run_clears_what_others_tell() -> None:
     clock = VirtualClock()
     quarantine = Quarantine(clock, print)
-    quarantine.acquit(ONE)
+    quarantine.record_survival(ONE)
     quarantine.tell(CrashesTold(tuple(tell(ONE, name) for name in 'abc')))
-    assert not quarantine.holds(ONE)
+    assert not quarantine.is_quarantined(ONE)
     with quarantine.guard(ONE) as guard:
         quarantine.tell(CrashesTold((tell(ONE, 'd'), tell(ONE, 'e'))))
     assert not guard.stopped
     assert all(each.ran_age == 0 for each in quarantine.list_news())
     clock.advance(RAN_LATELY + 1)
     quarantine.tell(CrashesTold(tuple(tell(ONE, name) for name in 'fgh')))
-    assert quarantine.holds(ONE)
+    assert quarantine.is_quarantined(ONE)
 
 
 def test_what_ran_is_remembered_within_bounds() -> None:
     quarantine = Quarantine(VirtualClock(), print)
-    quarantine.acquit(ONE)
+    quarantine.record_survival(ONE)
     for number in range(MOST_RAN):
-        quarantine.acquit(number.to_bytes(16, 'big'))
+        quarantine.record_survival(number.to_bytes(16, 'big'))
     quarantine.tell(CrashesTold(tuple(tell(ONE, name) for name in 'abc')))
-    assert quarantine.holds(ONE)
+    assert quarantine.is_quarantined(ONE)
--- a/tests/test_quarantine_own.py
+++ b/tests/test_quarantine_own.py
@@ -13,7 +13,7 @@
 SOUND = 'A sound one [length=40]'
 NOT_RUN = 'urn:cartdale:problem:not-run'
 #: Engines that a request may end before it is refused.
-MOST_ENDED = 3
+CRASHES_TO_QUARANTINE = 3
 #: Time for the instances to tell each other, in seconds.
 TOLD = 1
 
@@ -44,7 +44,7 @@
         await stage.settle(stage.declare())
         make_deadly(stage)
         answers = await ask_deadly(stage)
-        assert count_starts(stage) == MOST_ENDED
+        assert count_starts(stage) == CRASHES_TO_QUARANTINE
         assert answers[-1].problem['type'] == NOT_RUN
         assert 'upstreams ended' in answers[-1].problem['detail']
         sound = await stream(stage, 0, make_body(SOUND))
@@ -58,10 +58,10 @@
         await stage.settle(stage.declare(service={'repeat': 'never'}))
         make_deadly(stage)
         answers = await ask_deadly(stage, 6)
-        assert count_starts(stage) == MOST_ENDED
+        assert count_starts(stage) == CRASHES_TO_QUARANTINE
         kinds = [each.problem['type'] for each in answers]
         assert kinds[-1] == NOT_RUN
-        assert NOT_RUN not in kinds[:MOST_ENDED]
+        assert NOT_RUN not in kinds[:CRASHES_TO_QUARANTINE]
 
 
 async def test_plain_call_that_ends_its_upstream_is_sent_no_more(
@@ -84,5 +84,5 @@
             )
             statuses.append(answer.status_code)
             proxy.set(LinkState.NORMAL)
-        assert stage.plain.ended == MOST_ENDED
+        assert stage.plain.ended == CRASHES_TO_QUARANTINE
         assert statuses == [502, 502, 502, 503, 503]
--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -27,7 +27,7 @@
 from cartdale.platform.settings import Endpoint
 from cartdale.platform.store import PlatformStore, make_store
 from cartdale.quarantine.driver import Quarantine
-from cartdale.quarantine.lasting import PREFIX, LastingQuarantine
+from cartdale.quarantine.persistence import PREFIX, PersistentQuarantine
 from cartdale.quarantine.types import Crash, UpstreamEnded
 from cartdale.store.types import (
     Compare,
@@ -228,7 +228,7 @@
     clock = SystemClock()
     store = FakeStore(Random(1))
     quarantine = Quarantine(clock, lambda: None)
-    lasting = LastingQuarantine(store, quarantine, clock)
+    lasting = PersistentQuarantine(store, quarantine, clock)
     key = f'{PREFIX}{ONE.hex()}'
     async with trio.open_nursery() as nursery:
         nursery.start_soon(lasting.run)
