--- a/src/cartdale/configuration/driver.py
+++ b/src/cartdale/configuration/driver.py
@@ -62,7 +62,7 @@
         self.in_force_at: Millis = 0
         self.took: Millis = 0
 
-    async def tell(self, message: Message) -> None:
+    async def dispatch(self, message: Message) -> None:
         """Take a message and carry out what is decided."""
         for action in self.apply(message):
             match action:
--- a/src/cartdale/daemon/briefing.py
+++ b/src/cartdale/daemon/briefing.py
@@ -64,14 +64,14 @@
         The configuration goes forward only, by its version.
         """
         # The store knows only of those that quarantined a request.
-        self._fleet.quarantine.tell(CrashesTold(briefing.crashes))
+        self._fleet.quarantine.dispatch(CrashesTold(briefing.crashes))
         if self._follower.synced.is_set():
             return
         if briefing.key:
             self._peers.take_key(briefing.key)
         self._fleet.dispatch(EvacuationsReceived(briefing.evacuations))
         for peer in briefing.peers:
-            self._peers.news.tell(PeerListed(peer))
+            self._peers.news.dispatch(PeerListed(peer))
         for entry in briefing.entries:
             if self._fleet.find(entry.upstream) is not None:
                 continue
--- a/src/cartdale/daemon/peers.py
+++ b/src/cartdale/daemon/peers.py
@@ -122,14 +122,16 @@
         if not change.key.startswith(PEER_PREFIX):
             return
         if not change.stored:
-            self.news.tell(PeerRemoved(change.key.removeprefix(PEER_PREFIX)))
+            self.news.dispatch(
+                PeerRemoved(change.key.removeprefix(PEER_PREFIX))
+            )
             return
         try:
             peer = decode_json(change.stored, PeerEntry)
         except msgspec.MsgspecError as error:
             logger.error('peer unreadable', key=change.key, detail=str(error))
             return
-        self.news.tell(PeerListed(peer))
+        self.news.dispatch(PeerListed(peer))
 
     def take_key(self, key: bytes) -> None:
         """Seal news with the cluster's key, and open those of others."""
--- a/src/cartdale/daemon/runtime.py
+++ b/src/cartdale/daemon/runtime.py
@@ -136,7 +136,7 @@
         logger.info('leaving')
         self._pool.router.dispatch(LeaveBegan())
         self._group.leaving = True
-        self._group.membership.tell(OwnLeaving())
+        self._group.membership.dispatch(OwnLeaving())
         self._nursery.start_soon(self._group.release)
         self._nursery.start_soon(self._stop_later)
 
@@ -229,7 +229,7 @@
         self._group.placer.update_groups()
         self._group.limiter.set_rates(derive_rates(self._declared))
         took = self._configurator.took
-        self._group.membership.tell(RevisionAdopted(state.revision, took))
+        self._group.membership.dispatch(RevisionAdopted(state.revision, took))
         logger.info(
             'configuration in force', revision=state.revision, took_ms=took
         )
--- a/src/cartdale/limits/driver.py
+++ b/src/cartdale/limits/driver.py
@@ -88,7 +88,7 @@
             case Success(loan):
                 granted: Loan = loan
                 return granted
-        self._membership.tell(PeerSilent(keeper.name))
+        self._membership.dispatch(PeerSilent(keeper.name))
         return None
 
     def _alone(self, account: str, rate: Rate, members: int) -> Loan:
--- a/src/cartdale/membership/decide.py
+++ b/src/cartdale/membership/decide.py
@@ -28,7 +28,7 @@
     PeerSilent,
     RevisionAdopted,
     RoundBegan,
-    Tell,
+    SendNews,
 )
 
 _LISTED_LIVE = 'live'
@@ -187,7 +187,7 @@
     chosen = generator.sample(peers, min(fanout, len(peers)))
     news = select_news(state)
     told = tuple(
-        Tell(name, state.members_by_name[name].news.address, news)
+        SendNews(name, state.members_by_name[name].news.address, news)
         for name in chosen
     )
     return state, told
--- a/src/cartdale/membership/driver.py
+++ b/src/cartdale/membership/driver.py
@@ -24,7 +24,7 @@
     NewsReceived,
     PeerSilent,
     RoundBegan,
-    Tell,
+    SendNews,
 )
 from cartdale.peers.client import PeerClient
 from cartdale.peers.messages import Exchange
@@ -77,7 +77,7 @@
         self._generator = random.Random(own.name)
         self._urgent = trio.Event()
         self._crashes_learnt = trio.Event()
-        self._pending: list[Tell] = []
+        self._pending: list[SendNews] = []
         self._ranked_by_key: dict[str, list[MemberNews]] = {}
         self._ranked_at: Millis = 0
         self.state = MembershipState(own)
@@ -99,7 +99,7 @@
         """Return this instance's name."""
         return self.state.own.name
 
-    def tell(self, message: Message) -> None:
+    def dispatch(self, message: Message) -> None:
         """Take a message; what must be told at once is sent soon."""
         self._pending.extend(self._apply(message))
         self._forget_rankings()
@@ -110,7 +110,7 @@
         """Take a peer's news and return own."""
         self._apply(NewsReceived(exchange.news))
         quarantine = self._ports.quarantine
-        quarantine.tell(CrashesTold(exchange.crashes))
+        quarantine.dispatch(CrashesTold(exchange.crashes))
         return Exchange(select_news(self.state), quarantine.list_news())
 
     def alive(self) -> tuple[MemberNews, ...]:
@@ -137,7 +137,7 @@
         self._ranked_by_key.clear()
         self._ranked_at = self._ports.clock.now()
 
-    def _apply(self, message: Message) -> tuple[Tell, ...]:
+    def _apply(self, message: Message) -> tuple[SendNews, ...]:
         after, actions = decide(self.state, message, self._ports.clock.now())
         self.state = after
         return actions
@@ -165,9 +165,9 @@
             await self._crashes_learnt.wait()
             await trio.sleep(seconds(_CRASHES_GATHERED))
             self._crashes_learnt = trio.Event()
-            self.tell(CrashesLearnt())
+            self.dispatch(CrashesLearnt())
 
-    async def _exchange(self, tell: Tell) -> None:
+    async def _exchange(self, tell: SendNews) -> None:
         answer = await self._ports.peers.request(
             tell.name,
             tell.address,
@@ -177,7 +177,7 @@
         )
         match answer:
             case Success(Exchange(news=news, crashes=crashes)) if news:
-                self._ports.quarantine.tell(CrashesTold(crashes))
+                self._ports.quarantine.dispatch(CrashesTold(crashes))
                 self._apply(NewsReceived(news))
                 await self._ports.on_news(news[0])
             case _:
--- a/src/cartdale/membership/types.py
+++ b/src/cartdale/membership/types.py
@@ -134,7 +134,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
+class SendNews:
     """Exchange news with a peer."""
 
     name: str
@@ -151,4 +151,4 @@
     | OwnLeaving
     | CrashesLearnt
 )
-Decision = tuple[MembershipState, tuple[Tell, ...]]
+Decision = tuple[MembershipState, tuple[SendNews, ...]]
--- a/src/cartdale/news/driver.py
+++ b/src/cartdale/news/driver.py
@@ -106,7 +106,7 @@
         """Return how this instance is reached."""
         return self._own
 
-    def tell(self, message: Message, raw: bytes = b'') -> None:
+    def dispatch(self, message: Message, raw: bytes = b'') -> None:
         """Take one message and act on what follows from it.
 
         :param raw: the message as it came, to be passed on.
@@ -126,7 +126,7 @@
                 case ApplyEvacuations(evacuations=evacuations):
                     self._fleet.dispatch(EvacuationsReceived(evacuations))
                 case CrashesTold():
-                    self._fleet.quarantine.tell(action)
+                    self._fleet.quarantine.dispatch(action)
                 case AvoidUpstream(upstream=upstream):
                     self._fleet.dispatch(ReportedUnreachable(upstream))
                 case FetchTable(peer=newer):
@@ -243,7 +243,7 @@
             logger.warning('news not understood', detail=format_error(error))
             return
         if message is not None:
-            self.tell(message, raw)
+            self.dispatch(message, raw)
 
     def _forward(self, raw: bytes) -> None:
         """Send a message as it came to the instances around."""
--- a/src/cartdale/placement/driver.py
+++ b/src/cartdale/placement/driver.py
@@ -196,7 +196,7 @@
             case Success(PlaceAnswer(reason=reason, retry_after=wait)):
                 self._placers_by_work.pop(work.work_id, None)
                 return Failure(NotRun(reason, wait))
-        self._ports.membership.tell(PeerSilent(placer.name))
+        self._ports.membership.dispatch(PeerSilent(placer.name))
         # A placement whose answer was lost must not be counted for ever.
         self.report_end(work.work_id, 0, finished=False)
         return None
--- a/src/cartdale/quarantine/driver.py
+++ b/src/cartdale/quarantine/driver.py
@@ -114,7 +114,7 @@
         #: Counts the changes of the evidence, for news.
         self.version = 0
 
-    def tell(self, message: Message) -> None:
+    def dispatch(self, message: Message) -> None:
         """Take one message and act on what follows from it."""
         before = self.state
         after, actions = decide(before, message, self._clock.now())
@@ -181,7 +181,7 @@
         :param events: that had come of the run.
         """
         if events <= EVENTS_PAST_START:
-            self.tell(ended)
+            self.dispatch(ended)
 
     def record_survival(self, identity: Identity) -> None:
         """Note that a request ran without ending its upstream."""
@@ -191,7 +191,7 @@
         if len(self._ran_at_by_identity) > MOST_RAN:
             self._ran_at_by_identity.popitem(last=False)
         if identity in self.state.records_by_identity:
-            self.tell(RanOn(identity, now))
+            self.dispatch(RanOn(identity, now))
 
     def describe(self, identity: Identity) -> tuple[CrashNews, ...]:
         """Return all that is known of one request."""
@@ -213,7 +213,7 @@
         now = self._clock.now()
         if self.state.records_by_identity and now >= self._forgets_at:
             self._forgets_at = now + _FORGET_EVERY
-            self.tell(TimePassed())
+            self.dispatch(TimePassed())
 
     def _act(self, action: Action, cause: Message) -> None:
         """Act on what follows from a message, unless that was cleared."""
@@ -244,7 +244,7 @@
         for identity in accused:
             ran_at = self._ran_at_by_identity.get(identity)
             if ran_at is not None:
-                self.tell(RanOn(identity, ran_at))
+                self.dispatch(RanOn(identity, ran_at))
 
     def _stop(self, identity: Identity) -> None:
         guards = tuple(self._guards_by_identity.get(identity, ()))
--- a/src/cartdale/quarantine/persistence.py
+++ b/src/cartdale/quarantine/persistence.py
@@ -86,7 +86,7 @@
             return
         passed = max(self._clock.wall() - record.written_at, 0)
         crashes = tuple(_grow_older(each, passed) for each in record.crashes)
-        self._quarantine.tell(CrashesTold(crashes))
+        self._quarantine.dispatch(CrashesTold(crashes))
         for identity in sorted({each.identity for each in crashes}):
             if not self._quarantine.is_quarantined(identity):
                 self._add(identity)
--- a/tests/gossip.py
+++ b/tests/gossip.py
@@ -13,7 +13,7 @@
     NewsReceived,
     RevisionAdopted,
     RoundBegan,
-    Tell,
+    SendNews,
 )
 
 
@@ -60,7 +60,7 @@
         for tell in tells:
             self.exchange(name, tell)
 
-    def exchange(self, name: str, tell: Tell) -> None:
+    def exchange(self, name: str, tell: SendNews) -> None:
         if tell.name not in self.states or self.random.random() < self.loss:
             return
         self.exchanges += 1
--- a/tests/load/test_crash_news.py
+++ b/tests/load/test_crash_news.py
@@ -35,10 +35,10 @@
         fleet.take_calls()
         for number, each in enumerate(fleet.instances[:CRASHES_TO_QUARANTINE]):
             crash = Crash(IDENTITY, f'engine-{number}', 1)
-            each.fleet.quarantine.tell(UpstreamEnded(crash))
+            each.fleet.quarantine.dispatch(UpstreamEnded(crash))
         assert await measure(fleet.instances, holds) <= KNOWN_EVERYWHERE
         last = fleet.instances[-1].fleet.quarantine
-        last.tell(RanOn(IDENTITY, fleet.clock.now()))
+        last.dispatch(RanOn(IDENTITY, fleet.clock.now()))
         assert await measure(fleet.instances, is_free) <= KNOWN_EVERYWHERE
 
 
@@ -51,7 +51,7 @@
         before = fleet.state.revision
         for number in range(CRASHES_TO_QUARANTINE):
             crash = Crash(IDENTITY, f'engine-{number}', 1)
-            seen.tell(UpstreamEnded(crash))
+            seen.dispatch(UpstreamEnded(crash))
         await measure(fleet.instances, holds)
         await trio.sleep(1)
         keys = [
--- a/tests/test_domain_news.py
+++ b/tests/test_domain_news.py
@@ -303,7 +303,7 @@
         async with trio.open_nursery() as nursery:
             for each in instances:
                 for other in instances:
-                    each.exchange.tell(PeerListed(other.own))
+                    each.exchange.dispatch(PeerListed(other.own))
                 nursery.start_soon(each.exchange.run)
             work = Assignment('u', 100, 10)
             instances[0].fleet.loads.assign(work)
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -201,7 +201,7 @@
             await until(lambda: quarantine.guarded)
             identity = quarantine.guarded[0]
             for name in ('a', 'b', 'c'):
-                quarantine.tell(UpstreamEnded(Crash(identity, name)))
+                quarantine.dispatch(UpstreamEnded(Crash(identity, name)))
         assert b'upstreams ended' in answers[0].content
 
 
@@ -220,7 +220,7 @@
             quarantine = stage.runtimes[0].fleet.quarantine
             identity = quarantine.guarded[0]
             for name in ('a', 'b', 'c'):
-                quarantine.tell(UpstreamEnded(Crash(identity, name)))
+                quarantine.dispatch(UpstreamEnded(Crash(identity, name)))
         assert answers[0].status_code == 502
         assert not stage.runtimes[0].fleet.find('engine-0').strikes
 
--- a/tests/test_quarantine_evidence.py
+++ b/tests/test_quarantine_evidence.py
@@ -256,7 +256,7 @@
 def test_peers_are_told_at_once() -> None:
     fleet = Fleet(VirtualClock(), 'west', 1)
     before = fleet.quarantine.version
-    fleet.quarantine.tell(UpstreamEnded(Crash(ONE, 'a', 1)))
+    fleet.quarantine.dispatch(UpstreamEnded(Crash(ONE, 'a', 1)))
     assert fleet.quarantine.version == before + 1
     fleet.quarantine.record_survival(OTHER)
     assert fleet.quarantine.version == before + 1
@@ -269,8 +269,8 @@
     quarantine.record_survival(ONE)
     for name in ('a', 'b', 'c', 'd'):
         clock.advance(SECOND_MS)
-        quarantine.tell(UpstreamEnded(Crash(ONE, name, 1)))
-        quarantine.tell(UpstreamEnded(Crash(OTHER, name, 1)))
+        quarantine.dispatch(UpstreamEnded(Crash(ONE, name, 1)))
+        quarantine.dispatch(UpstreamEnded(Crash(OTHER, name, 1)))
     assert not quarantine.is_quarantined(ONE)
     assert quarantine.is_quarantined(OTHER)
 
@@ -289,14 +289,14 @@
     clock = VirtualClock()
     quarantine = Quarantine(clock, print)
     quarantine.record_survival(ONE)
-    quarantine.tell(CrashesTold(tuple(tell(ONE, name) for name in 'abc')))
+    quarantine.dispatch(CrashesTold(tuple(tell(ONE, name) for name in 'abc')))
     assert not quarantine.is_quarantined(ONE)
     with quarantine.guard(ONE) as guard:
-        quarantine.tell(CrashesTold((tell(ONE, 'd'), tell(ONE, 'e'))))
+        quarantine.dispatch(CrashesTold((tell(ONE, 'd'), tell(ONE, 'e'))))
     assert not guard.stopped
     assert all(each.ran_age == 0 for each in quarantine.list_news())
     clock.advance(RAN_LATELY + 1)
-    quarantine.tell(CrashesTold(tuple(tell(ONE, name) for name in 'fgh')))
+    quarantine.dispatch(CrashesTold(tuple(tell(ONE, name) for name in 'fgh')))
     assert quarantine.is_quarantined(ONE)
 
 
@@ -305,5 +305,5 @@
     quarantine.record_survival(ONE)
     for number in range(MOST_RAN):
         quarantine.record_survival(number.to_bytes(16, 'big'))
-    quarantine.tell(CrashesTold(tuple(tell(ONE, name) for name in 'abc')))
+    quarantine.dispatch(CrashesTold(tuple(tell(ONE, name) for name in 'abc')))
     assert quarantine.is_quarantined(ONE)
--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -234,7 +234,7 @@
         nursery.start_soon(lasting.run)
         copy = store.state.copy()
         for name in ('a', 'b', 'c'):
-            quarantine.tell(UpstreamEnded(Crash(ONE, name)))
+            quarantine.dispatch(UpstreamEnded(Crash(ONE, name)))
         await trio.sleep(1)
         assert store.state.find(key) is not None
         store.state = copy
