--- a/src/cartdale/briefing/driver.py
+++ b/src/cartdale/briefing/driver.py
@@ -31,7 +31,7 @@
 Take = Callable[[Briefing], None]
 
 
-class BriefingAsker:
+class BriefingClient:
     """Ask others until this instance knows what it needs.
 
     :param pool: connections to other instances.
--- a/src/cartdale/daemon/gateway.py
+++ b/src/cartdale/daemon/gateway.py
@@ -9,7 +9,7 @@
 from loguru import logger
 
 from cartdale.briefing.app import BriefingApp
-from cartdale.briefing.driver import BriefingAsker
+from cartdale.briefing.driver import BriefingClient
 from cartdale.clock import SECOND_MS, Millis, SystemClock, seconds
 from cartdale.daemon.briefing import Briefings
 from cartdale.daemon.inflight import InFlight
@@ -124,7 +124,7 @@
             self.peers.lost_store,
         )
         self._briefings = Briefings(self.peers, self.fleet, self.follower)
-        self._asker = BriefingAsker(
+        self._asker = BriefingClient(
             make_peer_pool(None),
             _list_others(settings),
             self._clock,
--- a/src/cartdale/daemon/group.py
+++ b/src/cartdale/daemon/group.py
@@ -64,7 +64,7 @@
             clock,
             _PEER_TIMEOUT,
         )
-        self.quarantine = Quarantine(clock, self._spread_crashes)
+        self.quarantine = Quarantine(clock, self._publish_crashes)
         links = PeerLinks(self.peers, configurator, recorder)
         self.membership = Membership(
             MembershipPorts(
@@ -147,8 +147,8 @@
         ]
         return self._settings.name in ranked[:_WATCHERS]
 
-    def _spread_crashes(self) -> None:
-        self.membership.spread_crashes()
+    def _publish_crashes(self) -> None:
+        self.membership.publish_crashes()
 
     async def _forget_crashes(self) -> None:
         while True:
--- a/src/cartdale/daemon/links.py
+++ b/src/cartdale/daemon/links.py
@@ -54,9 +54,9 @@
             case EndReport():
                 self.placer.apply_report(message)
             case Claim():
-                return self.owner.take(message, message.key)
+                return self.owner.handle_message(message, message.key)
             case Settle() | Release():
-                self.owner.take(message, message.key)
+                self.owner.handle_message(message, message.key)
             case _:
                 return Unserved()
         return Acknowledged()
--- a/src/cartdale/ledger/claims.py
+++ b/src/cartdale/ledger/claims.py
@@ -64,7 +64,7 @@
         if holder is None:
             return
         if holder.name == self._name:
-            self._owner.take(message, message.key)
+            self._owner.handle_message(message, message.key)
             return
         await self._peers.request(
             holder.name, holder.address, message, Acknowledged
@@ -76,7 +76,7 @@
         if holder is None:
             return None
         if holder.name == self._name:
-            return _owned(self._owner.take(claim, claim.key))
+            return _owned(self._owner.handle_message(claim, claim.key))
         asked = await self._peers.request(
             holder.name, holder.address, claim, ClaimAnswer
         )
--- a/src/cartdale/ledger/owner.py
+++ b/src/cartdale/ledger/owner.py
@@ -113,7 +113,7 @@
         """Return the slots that are owned here."""
         return tuple(sorted(self._slots_by_number))
 
-    def take(self, message: Message, key: str) -> ClaimAnswer:
+    def handle_message(self, message: Message, key: str) -> ClaimAnswer:
         """Take a message about a key that should be owned here."""
         number = slot_of(key)
         state = self._slots_by_number.get(number)
--- a/src/cartdale/membership/driver.py
+++ b/src/cartdale/membership/driver.py
@@ -88,9 +88,9 @@
             nursery.start_soon(self._follow_list)
             nursery.start_soon(self._gossip)
             nursery.start_soon(self._send_urgent)
-            nursery.start_soon(self._spread_crashes)
+            nursery.start_soon(self._publish_crashes)
 
-    def spread_crashes(self) -> None:
+    def publish_crashes(self) -> None:
         """Tell some peers soon what is known of crashes, who tell others."""
         self._crashes_learnt.set()
 
@@ -160,7 +160,7 @@
                 for tell in tells:
                     nursery.start_soon(self._exchange, tell)
 
-    async def _spread_crashes(self) -> None:
+    async def _publish_crashes(self) -> None:
         while True:
             await self._crashes_learnt.wait()
             await trio.sleep(seconds(_CRASHES_GATHERED))
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -257,7 +257,7 @@
         claim = Claim(name, f'a{self.claims}', 'body', wall, once=True)
         # A paused instance may still answer what reached it, when it wakes.
         node = self.random.choice(self.nodes)
-        answer = node.owner.take(claim, name)
+        answer = node.owner.handle_message(claim, name)
         if answer.verdict is Verdict.GRANTED:
             earlier = self.granted.setdefault(name, claim.claim_id)
             assert earlier == claim.claim_id, f'{name} granted twice'
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -34,7 +34,7 @@
 
 def ask(owner: SlotOwner, claim_id: str, ahead: int = 500) -> ClaimAnswer:
     wall = make_wall() + ahead
-    return owner.take(Claim('k', claim_id, 'b', wall, once=True), 'k')
+    return owner.handle_message(Claim('k', claim_id, 'b', wall, once=True), 'k')
 
 
 def make_wall() -> int:
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -151,9 +151,9 @@
         number: SlotState(number, 1, 0, 10**15) for number in range(64)
     }
     claim = Claim('k', 'a', 'b', SystemClock().wall(), once=True)
-    assert owner.take(claim, 'k').verdict is Verdict.GRANTED
+    assert owner.handle_message(claim, 'k').verdict is Verdict.GRANTED
     error = CLOCK_ERROR_MS + 1
-    assert owner.take(claim, 'k').verdict is Verdict.NOT_OWNER
+    assert owner.handle_message(claim, 'k').verdict is Verdict.NOT_OWNER
 
 
 async def test_clocks_are_compared_with_peers() -> None:
