--- a/src/cartdale/daemon/gateway.py
+++ b/src/cartdale/daemon/gateway.py
@@ -43,7 +43,7 @@
 )
 from cartdale.platform.store import make_store
 from cartdale.platform.translate import PlatformWire, translate
-from cartdale.routes.places import Places
+from cartdale.routes.regions import RegionMap
 from cartdale.routes.types import RoutingTable
 from cartdale.settings.types import Listener
 from cartdale.switches import Mechanism, Switches
@@ -260,7 +260,7 @@
                 leaving=self._is_leaving,
                 metrics=self.metrics,
                 generator=random.Random(self._seed),
-                places=Places(self._settings.regions_by_domain),
+                region_map=RegionMap(self._settings.regions_by_domain),
             ),
         )
 
--- a/src/cartdale/gateway/exchange.py
+++ b/src/cartdale/gateway/exchange.py
@@ -138,7 +138,7 @@
             priority=self._rank(route, customer),
             arrived_at=self._arrived_at,
             ends_at=self._arrived_at + longest,
-            domains=self._ports.places.find_domains(
+            domains=self._ports.region_map.find_domains(
                 find_regions(route, customer)
             ),
             identity=identify(
--- a/src/cartdale/gateway/ports.py
+++ b/src/cartdale/gateway/ports.py
@@ -10,7 +10,7 @@
 from cartdale.moves.driver import Mover
 from cartdale.relay.ports import RelayPorts
 from cartdale.relay.types import CallerRequest, Headers
-from cartdale.routes.places import Places
+from cartdale.routes.regions import RegionMap
 from cartdale.routes.types import RoutingTable
 
 
@@ -32,7 +32,7 @@
 
     :param table: reads the routing table in force.
     :param leaving: tells whether connections should be closed.
-    :param places: knows in which region a failure domain lies.
+    :param region_map: knows in which region a failure domain lies.
     """
 
     relay: RelayPorts
@@ -43,4 +43,4 @@
     leaving: Callable[[], bool]
     metrics: GatewayMetrics
     generator: random.Random
-    places: Places = Places()
+    region_map: RegionMap = RegionMap()
--- a/src/cartdale/routes/places.py
+++ b/src/cartdale/routes/regions.py
@@ -5,7 +5,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Places:
+class RegionMap:
     """Hold the region of each failure domain that the settings name."""
 
     regions_by_domain: Mapping[str, str] = field(default_factory=dict)
--- a/tests/test_places.py
+++ b/tests/test_regions.py
@@ -18,7 +18,7 @@
 from cartdale.relay.request_needs import make_request_needs
 from cartdale.relay.targets import choose_backup, choose_target
 from cartdale.routes.match import find_regions
-from cartdale.routes.places import Places
+from cartdale.routes.regions import RegionMap
 from cartdale.routes.types import Customer, Route, RouteKind, RoutingTable
 from tests.platform_stage import (
     KEY,
@@ -32,7 +32,7 @@
 from tests.test_fleet import SPEC, make_entry
 from tests.test_targets import make_routed
 
-PLACES = Places({'a1': 'north', 'a2': 'north', 'b1': 'south'})
+REGION_MAP = RegionMap({'a1': 'north', 'a2': 'north', 'b1': 'south'})
 NORTH = frozenset(('a1', 'a2'))
 
 
@@ -69,9 +69,9 @@
 
 
 def test_domains_of_regions() -> None:
-    assert PLACES.find_domains(None) is None
-    assert PLACES.find_domains(frozenset(('north',))) == NORTH
-    assert PLACES.find_domains(frozenset(('nowhere',))) == frozenset()
+    assert REGION_MAP.find_domains(None) is None
+    assert REGION_MAP.find_domains(frozenset(('north',))) == NORTH
+    assert REGION_MAP.find_domains(frozenset(('nowhere',))) == frozenset()
 
 
 def make_state() -> FleetState:
