--- a/src/cartdale/moves/driver.py
+++ b/src/cartdale/moves/driver.py
@@ -16,7 +16,7 @@
 from cartdale.moves.leaving import ASK_EVERY, LeavingEngine, read_report
 from cartdale.moves.ports import MovableGeneration
 from cartdale.relay.types import UpstreamPort
-from cartdale.routes.types import EngineTraits
+from cartdale.routes.types import EngineSpec
 from cartdale.switches import Mechanism
 
 #: An engine is asked by the one who does so for all at each second look: its
@@ -191,7 +191,7 @@
         ]
 
     def _describe_link(
-        self, entry: UpstreamEntry, engine: EngineTraits
+        self, entry: UpstreamEntry, engine: EngineSpec
     ) -> SourceLink:
         """Return what is known of the link that copies leave by."""
         has_neighbor = any(
@@ -204,6 +204,6 @@
             engine, _MIXED_FACTOR if has_neighbor else OTHER_DOMAIN_FACTOR
         )
 
-    def _engine_of(self, entry: UpstreamEntry) -> EngineTraits | None:
+    def _engine_of(self, entry: UpstreamEntry) -> EngineSpec | None:
         spec = self._fleet.table.services_by_name.get(entry.service)
         return spec.engine if spec else None
--- a/src/cartdale/moves/estimates.py
+++ b/src/cartdale/moves/estimates.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 
 from cartdale.clock import Millis
-from cartdale.routes.types import EngineTraits
+from cartdale.routes.types import EngineSpec
 
 #: How long an engine is taken to serve on until its reports tell: reclaimed
 #: ones were measured to get 1.5 to 2.1 s. Too short a time gives up copies
@@ -40,7 +40,7 @@
         ``OTHER_DOMAIN_FACTOR`` for others, or between.
     """
 
-    engine: EngineTraits
+    engine: EngineSpec
     factor: float = OTHER_DOMAIN_FACTOR
 
     def estimate(self, tokens: int) -> Millis:
--- a/src/cartdale/platform/documents.py
+++ b/src/cartdale/platform/documents.py
@@ -12,7 +12,7 @@
 from cartdale.platform.names import WORD_DRAINING, WORD_READY
 from cartdale.routes.types import (
     Customer,
-    EngineTraits,
+    EngineSpec,
     RequestLimits,
     Route,
     RouteKind,
@@ -270,8 +270,8 @@
     )
 
 
-def _to_engine(stored: _Engine) -> EngineTraits:
-    return EngineTraits(
+def _to_engine(stored: _Engine) -> EngineSpec:
+    return EngineSpec(
         slots=stored.slots,
         memory_tokens=stored.kv_capacity,
         token_bytes=int(stored.kv_bytes),
--- a/src/cartdale/routes/types.py
+++ b/src/cartdale/routes/types.py
@@ -70,7 +70,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class EngineTraits:
+class EngineSpec:
     """Describe the engines of a service.
 
     :param memory_tokens: tokens that one engine holds, running and cached.
@@ -103,7 +103,7 @@
     name: str
     health_path: str
     max_connections: int
-    engine: EngineTraits | None = None
+    engine: EngineSpec | None = None
     cold_start: Millis = 0
     cold_rate: float = 0
 
--- a/tests/load/crowd.py
+++ b/tests/load/crowd.py
@@ -19,7 +19,7 @@
 from cartdale.fleet.types import Lifecycle, Upstream, UpstreamEntry
 from cartdale.model.engine import EngineModel
 from cartdale.model.types import Hardware, Job
-from cartdale.routes.types import EngineTraits, ServiceSpec
+from cartdale.routes.types import EngineSpec, ServiceSpec
 from tests.load.deployments import LONG_TOKENS, Deployment, Kind
 
 #: Part of its target within which a prompt is to be read.
@@ -167,7 +167,7 @@
             's',
             '',
             0,
-            EngineTraits(deployment.slots, deployment.memory, 18432, 2700.0, 4),
+            EngineSpec(deployment.slots, deployment.memory, 18432, 2700.0, 4),
         )
         self._events: list[tuple[float, int, int]] = []
         self._stepping = [False] * deployment.engines
--- a/tests/load/herd.py
+++ b/tests/load/herd.py
@@ -14,10 +14,10 @@
 from cartdale.fleet.loads import Load
 from cartdale.fleet.pace import Pace
 from cartdale.fleet.types import Lifecycle, Upstream, UpstreamEntry
-from cartdale.routes.types import EngineTraits, ServiceSpec
+from cartdale.routes.types import EngineSpec, ServiceSpec
 
 ENGINES = 27
-ENGINE = EngineTraits(24, 34330, 18432, 2700.0, 4, moves=True, backups=True)
+ENGINE = EngineSpec(24, 34330, 18432, 2700.0, 4, moves=True, backups=True)
 SPEC = ServiceSpec('s', '', 1372, ENGINE)
 #: Prompt tokens read in a millisecond beside a few generations.
 READ_RATE = 9.0
--- a/tests/load/test_leaving_wave.py
+++ b/tests/load/test_leaving_wave.py
@@ -20,10 +20,10 @@
 from cartdale.moves.estimates import SourceLink
 from cartdale.moves.leaving import LeavingEngine
 from cartdale.moves.schedule import Turn
-from cartdale.routes.types import EngineTraits
+from cartdale.routes.types import EngineSpec
 
 #: 55 MB a generation over 2.7 Gbit/s.
-ENGINE = EngineTraits(24, 34000, 18432, 2700.0, 4, moves=True, backups=True)
+ENGINE = EngineSpec(24, 34000, 18432, 2700.0, 4, moves=True, backups=True)
 SOURCE = UpstreamEntry('a', 's', 'a:1', 'west', 24)
 #: Time left as the notice is seen, where the store is away.
 LEAVES_IN = 1100
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -37,9 +37,9 @@
     UpstreamEntry,
     Vanished,
 )
-from cartdale.routes.types import EngineTraits, ServiceSpec
+from cartdale.routes.types import EngineSpec, ServiceSpec
 
-ENGINE = EngineTraits(64, 10000, 1000, 2700, moves=True, backups=True)
+ENGINE = EngineSpec(64, 10000, 1000, 2700, moves=True, backups=True)
 SPEC = ServiceSpec('s', '/health', 100, ENGINE)
 
 
--- a/tests/test_leaving_engines.py
+++ b/tests/test_leaving_engines.py
@@ -25,10 +25,10 @@
 from cartdale.moves.leaving import LeavingEngine
 from cartdale.moves.schedule import find_turn, line_up
 from cartdale.relay.types import LinkBroke
-from cartdale.routes.types import EngineTraits, RoutingTable, ServiceSpec
+from cartdale.routes.types import EngineSpec, RoutingTable, ServiceSpec
 
 SOURCE = UpstreamEntry('a', 's', 'a:80', 'west', 64)
-ENGINE = EngineTraits(64, 30000, 18432, 2700, moves=True)
+ENGINE = EngineSpec(64, 30000, 18432, 2700, moves=True)
 SPEC = ServiceSpec('s', '', 0, ENGINE)
 
 
--- a/tests/test_targets.py
+++ b/tests/test_targets.py
@@ -9,7 +9,7 @@
 from cartdale.relay.targets import choose_backup, choose_target
 from cartdale.relay.types import CallerRequest, RoutedRequest
 from cartdale.routes.types import (
-    EngineTraits,
+    EngineSpec,
     Route,
     RouteKind,
     RoutingTable,
@@ -17,7 +17,7 @@
 )
 
 MEMORY = 34000
-ENGINE = EngineTraits(64, MEMORY, 18432, 2700, moves=True, backups=True)
+ENGINE = EngineSpec(64, MEMORY, 18432, 2700, moves=True, backups=True)
 SOURCE, OTHER = (
     UpstreamEntry(name, 's', f'{name}:80', 'west', 64) for name in ('a', 'b')
 )
