--- a/src/cartdale/platform/documents.py
+++ b/src/cartdale/platform/documents.py
@@ -250,7 +250,9 @@
         target_latency=stored.target_latency_ms,
         shares=shares or (ServiceShare(stored.service),),
         target_gap=stored.target_gap_ms,
-        patience=_find_patience(stored) if kind is RouteKind.STREAM else 0,
+        caller_read_timeout=_find_patience(stored)
+        if kind is RouteKind.STREAM
+        else 0,
         priority=stored.priority,
         max_attempts=stored.max_attempts,
         anonymous=stored.allow_anonymous,
--- a/src/cartdale/relay/attempts.py
+++ b/src/cartdale/relay/attempts.py
@@ -210,7 +210,7 @@
         begins = pace.read_time(needs.reads)
         ends = begins + needs.expected * pace.token_time
     until = routed.ends_at - int(ends)
-    for bound in (route.target_latency, route.patience):
+    for bound in (route.target_latency, route.caller_read_timeout):
         if bound:
             until = min(until, routed.arrived_at + bound - int(begins))
     return Waiting(
--- a/src/cartdale/routes/types.py
+++ b/src/cartdale/routes/types.py
@@ -36,8 +36,8 @@
     :param timeout: longest time that a request may be held.
     :param target_latency: an answer that starts later earns little.
     :param target_gap: longest pause between events; 0 for none.
-    :param patience: a caller gives a stream up that shows nothing for so long;
-        0 for no bound but its time limit.
+    :param caller_read_timeout: a caller gives a stream up that shows nothing
+        for so long; 0 for no bound but its time limit.
     :param priority: 0 is the most urgent.
     :param max_attempts: upstreams that one request may run on.
     :param anonymous: whether requests need no key.
@@ -55,7 +55,7 @@
     target_latency: Millis
     shares: tuple[ServiceShare, ...]
     target_gap: Millis = 0
-    patience: Millis = 0
+    caller_read_timeout: Millis = 0
     priority: int = 0
     max_attempts: int = 1
     anonymous: bool = False
