--- a/src/cartdale/platform/eras.py
+++ b/src/cartdale/platform/eras.py
@@ -24,16 +24,16 @@
     return 0
 
 
-def place(revision: int, era: int) -> int:
+def encode_revision(revision: int, era: int) -> int:
     """Return a revision of the store as one that only rises."""
     return era * _SPAN + revision
 
 
-def find_revision(placed: int) -> int:
+def decode_revision(placed: int) -> int:
     """Return the number that the store knows a revision by."""
     return placed % _SPAN
 
 
-def find_era(placed: int) -> int:
+def decode_era(placed: int) -> int:
     """Return the era that a revision belongs to."""
     return placed // _SPAN
--- a/src/cartdale/platform/store.py
+++ b/src/cartdale/platform/store.py
@@ -16,9 +16,9 @@
 from cartdale.clock import SECOND_MS, Millis
 from cartdale.formatting import format_error
 from cartdale.platform.eras import (
-    find_era,
-    find_revision,
-    place,
+    decode_era,
+    decode_revision,
+    encode_revision,
     read_era,
 )
 from cartdale.platform.pools import limit_time, make_pool
@@ -112,12 +112,12 @@
         self, prefix: str, after: int, timeout: Millis
     ) -> Result[Changes, StoreFailure]:
         """Wait for changes after a revision, at most ``timeout``."""
-        era = find_era(after)
+        era = decode_era(after)
         if era != self._era:
             return Failure(HistoryLost())
         params = {
             'pathPrefix': prefix,
-            'sinceRevision': str(find_revision(after)),
+            'sinceRevision': str(decode_revision(after)),
             'waitMs': str(timeout),
         }
         answer = await self._call(
@@ -134,7 +134,7 @@
         puts = [write for write in writes if isinstance(write, Put)]
         request = TransactionRequest(
             expected_revision=tuple(
-                Expectation(compare.key, find_revision(compare.mod_revision))
+                Expectation(compare.key, decode_revision(compare.mod_revision))
                 for compare in compares
             ),
             writes=tuple(
@@ -185,7 +185,7 @@
     def _is_outlived(self, compare: Compare) -> bool:
         """Tell whether a condition names a revision of an earlier era."""
         known = compare.mod_revision
-        return bool(known) and find_era(known) != self._era
+        return bool(known) and decode_era(known) != self._era
 
     def _note_era(self, response: httpcore.Response) -> None:
         """Follow the eras, which only rise; an answer may come late."""
@@ -265,7 +265,7 @@
     return _decode(response, Page).map(
         lambda page: Listing(
             tuple(_to_entry(stored, era) for stored in page.rows),
-            place(page.as_of, era),
+            encode_revision(page.as_of, era),
             page.truncated,
             era,
         )
@@ -285,7 +285,7 @@
     return _decode(response, Events).map(
         lambda answer: Changes(
             tuple(_to_change(event, era) for event in answer.events),
-            place(answer.as_of, era),
+            encode_revision(answer.as_of, era),
         )
     )
 
@@ -299,7 +299,7 @@
         return Failure(LeaseLost(leases[0] if leases else 0))
     era = read_era(response)
     return _decode(response, Written).map(
-        lambda written: Committed(place(written.revision, era))
+        lambda written: Committed(encode_revision(written.revision, era))
     )
 
 
@@ -315,7 +315,7 @@
     entries = tuple(
         _to_entry(stored, era) for stored in found.rows if stored.value
     )
-    return Success(CompareFailed(place(found.as_of, era), entries))
+    return Success(CompareFailed(encode_revision(found.as_of, era), entries))
 
 
 def _read_lease(
@@ -330,12 +330,12 @@
     return Entry(
         stored.key,
         stored.decode(),
-        place(stored.revision, era),
-        place(stored.created, era),
+        encode_revision(stored.revision, era),
+        encode_revision(stored.created, era),
     )
 
 
 def _to_change(event: StoredItem, era: int) -> Entry | Removed:
     if event.deleted:
-        return Removed(event.key, place(event.revision, era))
+        return Removed(event.key, encode_revision(event.revision, era))
     return _to_entry(event, era)
--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -23,7 +23,7 @@
     TimePassed,
 )
 from cartdale.news.registration import KEY_NAME, PEER_PREFIX
-from cartdale.platform.eras import find_era, find_revision, place
+from cartdale.platform.eras import decode_era, decode_revision, encode_revision
 from cartdale.platform.settings import Endpoint
 from cartdale.platform.store import PlatformStore, make_store
 from cartdale.quarantine.driver import Quarantine
@@ -57,10 +57,14 @@
 
 
 def test_revisions_of_a_later_era_are_newer() -> None:
-    assert place(7, 0) == 7
-    assert place(5, 1) < place(10**12, 1) < place(1, 2)
-    placed = place(123, 3)
-    assert (find_era(placed), find_revision(placed)) == (3, 123)
+    assert encode_revision(7, 0) == 7
+    assert (
+        encode_revision(5, 1)
+        < encode_revision(10**12, 1)
+        < encode_revision(1, 2)
+    )
+    placed = encode_revision(123, 3)
+    assert (decode_era(placed), decode_revision(placed)) == (3, 123)
 
 
 async def test_watch_from_before_is_over_though_the_number_is_known() -> None:
@@ -265,14 +269,14 @@
     state = make_fleet('a')
     told = EvacuationsReceived((Evacuation('west', 50),))
     state, _ = decide(state, told, 10)
-    restored = EvacuationsListed((), place(20, 1), restored=True)
+    restored = EvacuationsListed((), encode_revision(20, 1), restored=True)
     state, actions = decide(state, restored, 20)
     assert not actions
     # Written again, with a number that is smaller than before.
-    again = EvacuationsReceived((Evacuation('west', place(21, 1)),))
+    again = EvacuationsReceived((Evacuation('west', encode_revision(21, 1)),))
     state, actions = decide(state, again, 30)
     assert not actions
-    ended = Evacuation('west', place(22, 1), active=False)
+    ended = Evacuation('west', encode_revision(22, 1), active=False)
     state, _ = decide(state, EvacuationsReceived((ended,)), 40)
     assert not state.evacuation_status_by_domain['west'].active
     # A peer that has not heard of the new era tells what was before.
@@ -283,7 +287,7 @@
     state, _ = decide(
         make_fleet('a'), EvacuationsReceived((Evacuation('west', 50),)), 10
     )
-    listed = EvacuationsListed((), place(30, 1))
+    listed = EvacuationsListed((), encode_revision(30, 1))
     state, _ = decide(state, listed, 5000)
     assert not state.evacuation_status_by_domain['west'].active
 
