--- a/src/cartdale/daemon/gateway.py
+++ b/src/cartdale/daemon/gateway.py
@@ -42,7 +42,7 @@
     read_stamp,
 )
 from cartdale.platform.store import make_store
-from cartdale.platform.translate import PlatformWire, translate
+from cartdale.platform.translate import PlatformWire, decode_change
 from cartdale.routes.regions import RegionMap
 from cartdale.routes.types import RoutingTable
 from cartdale.settings.types import Listener
@@ -103,7 +103,7 @@
             store,
             self.fleet,
             self._clock,
-            translate,
+            decode_change,
             self.peers.take_own_key,
             self.peers.news.is_watcher,
             self.peers.news.is_silent,
--- a/src/cartdale/platform/translate.py
+++ b/src/cartdale/platform/translate.py
@@ -48,7 +48,7 @@
         return write_refusal(status, retry_after)
 
 
-def translate(change: Entry | Removed) -> StoredChange | None:
+def decode_change(change: Entry | Removed) -> StoredChange | None:
     """Decode what is stored under one of the platform's keys."""
     if change.key.startswith(_OWN_PREFIX):
         stored = b'' if isinstance(change, Removed) else change.value
--- a/tests/load/fleet.py
+++ b/tests/load/fleet.py
@@ -22,7 +22,7 @@
 from cartdale.news.types import PeerEntry
 from cartdale.peers.client import PeerNotReached, PeerUncertain
 from cartdale.peers.documents import ENCODINGS, Document, FetchDocument
-from cartdale.platform.translate import translate
+from cartdale.platform.translate import decode_change
 from cartdale.store.types import (
     Changes,
     Compare,
@@ -258,7 +258,7 @@
             store,
             fleet,
             self.clock,
-            translate,
+            decode_change,
             peers.take_own_key,
             peers.news.is_watcher,
             peers.news.is_silent,
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -40,7 +40,7 @@
     NewsState,
     PeerEntry,
 )
-from cartdale.platform.translate import translate
+from cartdale.platform.translate import decode_change
 from cartdale.relay.admission import Admission, NoCapacity, Waiting
 from cartdale.relay.targets import choose_backup, choose_target
 from cartdale.routes.types import RoutingTable
@@ -234,7 +234,7 @@
     )
     fleet = Fleet(SystemClock(), 'west', 1)
     follower = StoreFollower(
-        store, fleet, SystemClock(), translate, print, lambda: True, bool
+        store, fleet, SystemClock(), decode_change, print, lambda: True, bool
     )
     async with trio.open_nursery() as nursery:
         nursery.start_soon(follower.run)
--- a/tests/test_follow.py
+++ b/tests/test_follow.py
@@ -10,7 +10,7 @@
 from cartdale.fleet.driver import Fleet
 from cartdale.fleet.store_follower import StoreFollower
 from cartdale.fleet.types import Lifecycle
-from cartdale.platform.translate import translate
+from cartdale.platform.translate import decode_change
 from cartdale.store.types import (
     Changes,
     Entry,
@@ -63,7 +63,7 @@
     clock = SystemClock()
     fleet = Fleet(clock, 'west', 1)
     return StoreFollower(
-        store, fleet, clock, translate, print, watches, hears_nobody
+        store, fleet, clock, decode_change, print, watches, hears_nobody
     )
 
 
@@ -74,7 +74,9 @@
     store = ScriptedStore([listed, away, missing])
     clock = SystemClock()
     fleet = Fleet(clock, 'west', 1)
-    follower = StoreFollower(store, fleet, clock, translate, print, bool, bool)
+    follower = StoreFollower(
+        store, fleet, clock, decode_change, print, bool, bool
+    )
     async with trio.open_nursery() as nursery:
         nursery.start_soon(follower.run)
         while len(store.asked) < 3:
--- a/tests/test_platform_wire.py
+++ b/tests/test_platform_wire.py
@@ -19,7 +19,7 @@
     parse_platform_settings,
 )
 from cartdale.platform.store import PlatformStore
-from cartdale.platform.translate import translate
+from cartdale.platform.translate import decode_change
 from cartdale.routes.types import RouteKind
 from cartdale.store.types import Entry, Removed
 from cartdale_standins.platform_entries import describe_upstream
@@ -109,15 +109,19 @@
 
 def test_keys_become_news() -> None:
     good = encode(describe_upstream('s', 'a:1'))
-    assert isinstance(translate(Entry('servers/i', good, 1, 1)), EntryWritten)
-    assert translate(Removed('servers/i', 2)) == EntryRemoved('i')
-    assert isinstance(translate(Entry('servers/i', b'{', 1, 1)), Unreadable)
-    assert translate(Removed('op/config', 3)) is None
-    assert translate(Entry('else', b'', 1, 1)) is None
+    assert isinstance(
+        decode_change(Entry('servers/i', good, 1, 1)), EntryWritten
+    )
+    assert decode_change(Removed('servers/i', 2)) == EntryRemoved('i')
+    assert isinstance(decode_change(Entry('servers/i', b'{', 1, 1)), Unreadable)
+    assert decode_change(Removed('op/config', 3)) is None
+    assert decode_change(Entry('else', b'', 1, 1)) is None
     own = Entry('cartdale/cluster-key', b'k', 1, 1)
-    assert translate(own) == OwnKey('cartdale/cluster-key', b'k')
+    assert decode_change(own) == OwnKey('cartdale/cluster-key', b'k')
     table = encode(make_configuration())
-    assert isinstance(translate(Entry('op/config', table, 1, 1)), TableWritten)
+    assert isinstance(
+        decode_change(Entry('op/config', table, 1, 1)), TableWritten
+    )
 
 
 def test_request_heads() -> None:
--- a/tests/test_upstream_lives.py
+++ b/tests/test_upstream_lives.py
@@ -31,7 +31,7 @@
 from cartdale.news.writing import NewsWriter
 from cartdale.peers.authentication import Authenticator
 from cartdale.platform.documents import BadDocumentError, decode_upstream
-from cartdale.platform.translate import translate
+from cartdale.platform.translate import decode_change
 from cartdale.store.types import Entry
 from tests.platform_stage import draft_meanwhile, open_platform, until
 from tests.test_fleet import make_entry, make_fleet
@@ -178,7 +178,7 @@
 
 @pytest.mark.parametrize('raw', [b'', b'\xff\xfe', b'[]', b'null', b'{"a":'])
 def test_bytes_that_cannot_be_read_name_no_upstream(raw: bytes) -> None:
-    assert isinstance(translate(Entry('servers/i', raw, 1, 1)), Unreadable)
+    assert isinstance(decode_change(Entry('servers/i', raw, 1, 1)), Unreadable)
 
 
 async def test_other_entries_hold_beside_one_that_cannot_be_read() -> None:
