--- a/src/cartdale/daemon/gateway.py
+++ b/src/cartdale/daemon/gateway.py
@@ -104,7 +104,7 @@
             self.fleet,
             self._clock,
             decode_change,
-            self.peers.take_own_key,
+            self.peers.apply_own_key,
             self.peers.news.is_watcher,
             self.peers.news.is_silent,
             max(settings.bounds.contact - SECOND_MS, SECOND_MS),
--- a/src/cartdale/daemon/peers.py
+++ b/src/cartdale/daemon/peers.py
@@ -114,7 +114,7 @@
         with trio.move_on_after(seconds(_WITHDRAW_TIMEOUT)):
             await self._registration.withdraw()
 
-    def take_own_key(self, change: OwnKey) -> None:
+    def apply_own_key(self, change: OwnKey) -> None:
         """Take what instances wrote for each other in the store."""
         if change.key == KEY_NAME and change.stored:
             self.take_key(change.stored)
--- a/tests/load/fleet.py
+++ b/tests/load/fleet.py
@@ -259,7 +259,7 @@
             fleet,
             self.clock,
             decode_change,
-            peers.take_own_key,
+            peers.apply_own_key,
             peers.news.is_watcher,
             peers.news.is_silent,
         )
