--- a/src/cartdale/declarations/check.py
+++ b/src/cartdale/declarations/check.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Located:
+class SourceMap:
     """Remember which document declares each ``kind.name`` key."""
 
     documents_by_key: dict[str, Document] = field(default_factory=dict)
@@ -36,26 +36,26 @@
 
 
 def check_references(
-    declared: Declarations, located: Located
+    declared: Declarations, source_map: SourceMap
 ) -> Iterator[InputFault]:
     """Yield every dangling reference and contradiction.
 
     :param declared: all objects, merged over files.
-    :param located: where each was declared.
+    :param source_map: where each was declared.
     """
     for name, upstream in declared.upstreams.items():
         key = f'upstreams.{name}'
         for inner, expected in _check_upstream(upstream, declared):
-            yield located.fault(key, inner, expected)
+            yield source_map.fault(key, inner, expected)
     for name, service in declared.services.items():
         key = f'services.{name}'
         for inner, expected in _check_service(service, declared):
-            yield located.fault(key, inner, expected)
+            yield source_map.fault(key, inner, expected)
     for name, customer in declared.customers.items():
         key = f'customers.{name}'
         for inner, expected in _check_customer(customer, declared):
-            yield located.fault(key, inner, expected)
-    yield from _check_shared_keys(declared, located)
+            yield source_map.fault(key, inner, expected)
+    yield from _check_shared_keys(declared, source_map)
 
 
 _Complaints = Iterator[tuple[str, str]]
@@ -119,7 +119,7 @@
 
 
 def _check_shared_keys(
-    declared: Declarations, located: Located
+    declared: Declarations, source_map: SourceMap
 ) -> Iterator[InputFault]:
     owners_by_hash: dict[str, str] = {}
     for name, customer in declared.customers.items():
@@ -127,7 +127,7 @@
             owner = owners_by_hash.setdefault(hashed, name)
             if owner == name:
                 continue
-            yield located.fault(
+            yield source_map.fault(
                 f'customers.{name}',
                 f'key_hashes.{index}',
                 f'a key that customer {owner} does not use',
--- a/src/cartdale/declarations/load.py
+++ b/src/cartdale/declarations/load.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from cartdale.declarations.check import Located, check_references
+from cartdale.declarations.check import SourceMap, check_references
 from cartdale.declarations.types import KINDS, Declarations
 from cartdale.documents import Document, parse_document
 from cartdale.exceptions import BadInputError, InputFault, Place
@@ -55,7 +55,7 @@
     """
     faults: list[InputFault] = []
     merged = Declarations()
-    located = Located()
+    source_map = SourceMap()
     for source in sources:
         try:
             document = parse_document(source.text, source.path)
@@ -63,9 +63,9 @@
         except BadInputError as error:
             faults.extend(error.faults)
             continue
-        faults.extend(_merge(merged, part, document, located))
+        faults.extend(_merge(merged, part, document, source_map))
     if not faults:
-        faults.extend(check_references(merged, located))
+        faults.extend(check_references(merged, source_map))
     if faults:
         raise BadInputError(tuple(faults))
     return merged
@@ -75,13 +75,13 @@
     merged: Declarations,
     part: Declarations,
     document: Document,
-    located: Located,
+    source_map: SourceMap,
 ) -> list[InputFault]:
     faults: list[InputFault] = []
     for kind in KINDS:
         for name, declared in getattr(part, kind).items():
             key = f'{kind}.{name}'
-            earlier = located.documents_by_key.get(key)
+            earlier = source_map.documents_by_key.get(key)
             if earlier is not None:
                 where = earlier.locate(key)
                 faults.append(
@@ -91,6 +91,6 @@
                     ),
                 )
                 continue
-            located.documents_by_key[key] = document
+            source_map.documents_by_key[key] = document
             getattr(merged, kind)[name] = declared
     return faults
--- a/src/cartdale/plans/confirm.py
+++ b/src/cartdale/plans/confirm.py
@@ -22,7 +22,7 @@
     Delta,
     digest_bodies,
 )
-from cartdale.declarations.check import Located, check_references
+from cartdale.declarations.check import SourceMap, check_references
 from cartdale.plans.make import identify
 from cartdale.plans.types import (
     AlreadyConfirmed,
@@ -100,7 +100,7 @@
         changes = list_changes(asked.plan)
         bodies_by_key = apply_changes(state.bodies_by_key, changes)
         declared = decode_bodies(bodies_by_key)
-        faults = tuple(check_references(declared, Located()))
+        faults = tuple(check_references(declared, SourceMap()))
         if faults:
             return Failure(PlanInvalid(faults))
         revision = asked.plan.base_revision + 1
