--- a/src/cartdale/callers/app.py
+++ b/src/cartdale/callers/app.py
@@ -20,7 +20,7 @@
     read_generation,
     read_position,
 )
-from cartdale.callers.respond import answer_json, answer_problem
+from cartdale.callers.respond import make_json_response, make_problem_response
 from cartdale.callers.types import Caller, Directory
 from cartdale.clock import Millis
 from cartdale.declarations.types import UpstreamKind
@@ -125,16 +125,16 @@
         self, serve: Callable[[Caller], Awaitable[Response]]
     ) -> Response:
         if self._ports.leaving():
-            return answer_problem(NotRun(NotRunReason.LEAVING, 0))
+            return make_problem_response(NotRun(NotRunReason.LEAVING, 0))
         if not self._ports.ready():
             # Keys cannot be told apart before a configuration is in force.
             refusal = NotRun(NotRunReason.NOT_READY, _NOT_READY_RETRY)
-            return answer_problem(refusal)
+            return make_problem_response(refusal)
         caller = identify_caller(
             self._ports.directory(), request.headers.get('Authorization', '')
         )
         if isinstance(caller, Failure):
-            return answer_problem(caller.failure())
+            return make_problem_response(caller.failure())
         return await serve(caller.unwrap())
 
     async def _charge(self, caller: Caller, service: str) -> Problem | None:
@@ -153,12 +153,12 @@
         service = self._ports.directory().services_by_name.get(service_name)
         known = service_name in caller.customer.services
         if service is None or not known:
-            return answer_problem(Unauthorised())
+            return make_problem_response(Unauthorised())
         if service.kind is not UpstreamKind.PLAIN:
-            return answer_problem(BadRequest('path', 'a plain service'))
+            return make_problem_response(BadRequest('path', 'a plain service'))
         limited = await self._charge(caller, service_name)
         if limited is not None:
-            return answer_problem(limited)
+            return make_problem_response(limited)
         query = request.query_string.decode()
         asked = PlainRequest(
             method=request.method,
@@ -177,7 +177,7 @@
             self._ports.directory(), caller, request.path, raw
         )
         if isinstance(read, Failure):
-            return answer_problem(read.failure())
+            return make_problem_response(read.failure())
         call = read.unwrap()
         position = read_position(
             self._ports.delivery.position_signer,
@@ -185,13 +185,13 @@
             call,
         )
         if isinstance(position, Failure):
-            return answer_problem(position.failure())
+            return make_problem_response(position.failure())
         found = position.unwrap()
         if found is not None:
             return await self._ports.generations.resume(call, found)
         limited = await self._charge(caller, call.service_name)
         if limited is not None:
-            return answer_problem(limited)
+            return make_problem_response(limited)
         return await self._ports.generations.serve(
             call, request.headers.get(HEADER_KEY, '')
         )
@@ -201,15 +201,15 @@
 
     async def _list_models_of(self, caller: Caller) -> Response:
         listed = tuple(ListedModel(name) for name in caller.customer.services)
-        return answer_json(ListedModels(listed))
+        return make_json_response(ListedModels(listed))
 
     async def _health(self) -> Response:
-        return answer_json(Health('alive'))
+        return make_json_response(Health('alive'))
 
     async def _readiness(self) -> Response:
         if self._ports.ready():
-            return answer_json(Health('ready'))
-        response = answer_json(Health('not ready'))
+            return make_json_response(Health('ready'))
+        response = make_json_response(Health('not ready'))
         response.status_code = HTTPStatus.SERVICE_UNAVAILABLE
         return response
 
@@ -222,9 +222,11 @@
 
 async def _answer_http_error(error: HTTPException) -> Response:
     name = error.name
-    return answer_problem(BadRequest('request', f'another request ({name})'))
+    return make_problem_response(
+        BadRequest('request', f'another request ({name})')
+    )
 
 
 async def _answer_failure(error: Exception) -> Response:
     logger.opt(exception=error).error('a request failed')
-    return answer_problem(OutcomeUnknown('an error of this instance'))
+    return make_problem_response(OutcomeUnknown('an error of this instance'))
--- a/src/cartdale/callers/generations.py
+++ b/src/cartdale/callers/generations.py
@@ -19,8 +19,8 @@
     make_generation_id,
 )
 from cartdale.callers.respond import (
-    answer_problem,
     collect_answer,
+    make_problem_response,
     stream_answer,
 )
 from cartdale.declarations.types import Repeat
@@ -71,8 +71,8 @@
                 return await self._start(call, grant)
             case Failure(refusal):
                 problem: Problem = refusal
-                return answer_problem(problem)
-        return answer_problem(OutcomeUnknown('no admission'))
+                return make_problem_response(problem)
+        return make_problem_response(OutcomeUnknown('no admission'))
 
     async def resume(
         self, call: GenerationCall, position: Position
@@ -89,7 +89,9 @@
     async def _attach(self, call: GenerationCall, kept: KeptAnswer) -> Response:
         position = self._ports.position_signer.verify(f'{kept.origin}.0.')
         if position is None:
-            return answer_problem(OutcomeUnknown('the answer was not kept'))
+            return make_problem_response(
+                OutcomeUnknown('the answer was not kept')
+            )
         return await self.resume(call, position)
 
     async def _start(self, call: GenerationCall, grant: Grant) -> Response:
--- a/src/cartdale/callers/plain.py
+++ b/src/cartdale/callers/plain.py
@@ -15,7 +15,7 @@
     Repeated,
 )
 from cartdale.callers.read import digest_body
-from cartdale.callers.respond import answer_problem
+from cartdale.callers.respond import make_problem_response
 from cartdale.callers.types import Caller
 from cartdale.clock import Clock, Millis
 from cartdale.declarations.types import Repeat, Service, Upstream
@@ -97,14 +97,14 @@
         )
         match admitted:
             case Failure(problem):
-                return answer_problem(problem)
+                return make_problem_response(problem)
             case Success(Repeated(answer=kept)):
                 return _answer(
                     PlainAnswer(kept.status, kept.content_type, kept.body)
                 )
             case Success(Grant() as grant):
                 return await self._run(call, grant)
-        return answer_problem(_not_run())
+        return make_problem_response(_not_run())
 
     async def _run(self, call: PlainCall, grant: Grant) -> Response:
         watch = RunTracker(
@@ -118,10 +118,12 @@
             return _answer(attempted.answer)
         if attempted.sent:
             await self._ports.keys.settle(grant, RecordPhase.UNKNOWN, None)
-            return answer_problem(OutcomeUnknown('the upstream was lost'))
+            return make_problem_response(
+                OutcomeUnknown('the upstream was lost')
+            )
         await self._ports.keys.release(grant)
         refusal = watch.find_refusal()
-        return answer_problem(refusal or self._refuse(call.service))
+        return make_problem_response(refusal or self._refuse(call.service))
 
     def _refuse(self, service: Service) -> Problem:
         """Say when to come back: not before the first rest ends."""
--- a/src/cartdale/callers/respond.py
+++ b/src/cartdale/callers/respond.py
@@ -66,7 +66,7 @@
     usage: Usage
 
 
-def answer_problem(problem: Problem) -> Response:
+def make_problem_response(problem: Problem) -> Response:
     """Answer with an RFC 9457 problem document."""
     document = describe(problem)
     response = Response(
@@ -79,7 +79,7 @@
     return response
 
 
-def answer_json(message: object) -> Response:
+def make_json_response(message: object) -> Response:
     """Answer with a data class as JSON."""
     return Response(encode_json(message), content_type=JSON_TYPE)
 
@@ -127,7 +127,7 @@
         model, kind = decoded.model, decoded.object
         batch = await delivery.next_batch()
     if isinstance(batch, Broken):
-        return answer_problem(batch.problem)
+        return make_problem_response(batch.problem)
     prompt_tokens = delivery.asked.work.prompt_tokens
     whole = WholeCompletion(
         id=delivery.state.generation,
@@ -137,7 +137,7 @@
         choices=(_choose_shape(kind, ''.join(texts)),),
         usage=Usage(prompt_tokens, len(texts), prompt_tokens + len(texts)),
     )
-    return answer_json(whole)
+    return make_json_response(whole)
 
 
 def _choose_shape(kind: str, text: str) -> WholeChoice | WholeChatChoice:
--- a/src/cartdale/operators/app.py
+++ b/src/cartdale/operators/app.py
@@ -12,7 +12,7 @@
 from returns.result import Failure, Success
 
 from cartdale.callers.app import read_body
-from cartdale.callers.respond import answer_json
+from cartdale.callers.respond import make_json_response
 from cartdale.codec import decode_json
 from cartdale.configuration.driver import Configurator
 from cartdale.configuration.storage import KEPT_LOG, read_log
@@ -90,7 +90,9 @@
         )
         if scheme.lower() == 'bearer' and accepted:
             return None
-        response = answer_json(types.Refusal('an operator key is required'))
+        response = make_json_response(
+            types.Refusal('an operator key is required')
+        )
         response.status_code = HTTPStatus.UNAUTHORIZED
         return response
 
@@ -98,7 +100,7 @@
         intent = decode_json(await read_body(), types.Intent)
         await self._ports.configurator.catch_up()
         state = self._ports.configurator.state
-        return answer_json(make_plan(state, intent.bodies_by_key))
+        return make_json_response(make_plan(state, intent.bodies_by_key))
 
     async def _confirm(self) -> Response:
         asked = decode_json(await read_body(), types.ConfirmRequest)
@@ -118,10 +120,10 @@
             revision=answer.revision,
             detail=answer.detail,
         )
-        return answer_json(answer)
+        return make_json_response(answer)
 
     async def _status(self) -> Response:
-        return answer_json(self._ports.status())
+        return make_json_response(self._ports.status())
 
     async def _history(self) -> Response:
         revision = self._ports.configurator.state.revision
@@ -135,18 +137,18 @@
             entries.extend(_describe_delta(delta) for delta in deltas)
             after = deltas[-1].revision
         entries.reverse()
-        return answer_json(types.History(tuple(entries)))
+        return make_json_response(types.History(tuple(entries)))
 
     async def _configuration(self) -> Response:
         state = self._ports.configurator.state
-        return answer_json(types.Intent(state.bodies_by_key))
+        return make_json_response(types.Intent(state.bodies_by_key))
 
     async def _drain(self) -> Response:
         self._ports.drain()
-        return answer_json(self._ports.status())
+        return make_json_response(self._ports.status())
 
     async def _report(self) -> Response:
-        return answer_json(await self._ports.report())
+        return make_json_response(await self._ports.report())
 
     async def _metrics(self) -> Response:
         return Response(self._ports.metrics(), content_type=_METRICS_TYPE)
@@ -203,6 +205,6 @@
 
 
 async def _answer_bad_body(error: Exception) -> Response:
-    response = answer_json(types.Refusal(str(error)))
+    response = make_json_response(types.Refusal(str(error)))
     response.status_code = HTTPStatus.BAD_REQUEST
     return response
