--- a/src/cartdale/daemon/peer_links.py
+++ b/src/cartdale/daemon/peer_links.py
@@ -32,7 +32,7 @@
 #: cluster's own is known.
 _KEY_BYTES = 32
 
-Serve = Callable[[object], Awaitable[object]]
+MessageHandler = Callable[[object], Awaitable[object]]
 
 
 class PeerLinks(Protocol):
@@ -49,7 +49,7 @@
     def set_authenticator(self, authenticator: Authenticator) -> None:
         """Seal calls from now on."""
 
-    async def serve(self, answer: Serve, stopping: trio.Event) -> None:
+    async def serve(self, answer: MessageHandler, stopping: trio.Event) -> None:
         """Answer the calls of others until told to stop."""
 
     async def fetch_document(
@@ -91,7 +91,7 @@
         """Seal calls from now on."""
         self._client.authenticator = authenticator
 
-    async def serve(self, answer: Serve, stopping: trio.Event) -> None:
+    async def serve(self, answer: MessageHandler, stopping: trio.Event) -> None:
         """Answer the calls of others until told to stop."""
         app = PeerApp(
             self.own.name, self._client, self._clock, answer, _SHAPES_BY_KIND
--- a/tests/load/fleet.py
+++ b/tests/load/fleet.py
@@ -15,7 +15,7 @@
 
 from cartdale.clock import Millis, SystemClock, seconds
 from cartdale.codec import encode_json
-from cartdale.daemon.peer_links import PEER_TIMEOUT, Serve
+from cartdale.daemon.peer_links import PEER_TIMEOUT, MessageHandler
 from cartdale.daemon.peers import Peers
 from cartdale.fleet.driver import Fleet
 from cartdale.fleet.store_follower import StoreFollower
@@ -112,7 +112,7 @@
     """Carry datagrams and documents between the instances by their names."""
 
     inboxes: dict[str, trio.MemorySendChannel] = field(default_factory=dict)
-    servers: dict[str, Serve] = field(default_factory=dict)
+    servers: dict[str, MessageHandler] = field(default_factory=dict)
     messages: Counter[str] = field(default_factory=Counter)
     sent_bytes: Counter[str] = field(default_factory=Counter)
     #: What an instance's link sends in a millisecond, in bytes.
@@ -160,7 +160,7 @@
     def set_authenticator(self, authenticator: object) -> None:
         """Documents need no seal here."""
 
-    async def serve(self, answer: Serve, stopping: trio.Event) -> None:
+    async def serve(self, answer: MessageHandler, stopping: trio.Event) -> None:
         self.network.servers[self.own.name] = answer
         await stopping.wait()
 
