--- a/bench/platform_cost.py
+++ b/bench/platform_cost.py
@@ -17,7 +17,7 @@
 
 from bench.processes import read_usage, running, wait_for
 from cartdale.platform.pools import make_pool
-from cartdale.platform.settings import PATH_VARIABLE, Endpoint
+from cartdale.platform.settings import SETTINGS_PATH_VARIABLE, Endpoint
 from cartdale.platform.store import PlatformStore
 from cartdale.store.types import Put
 from cartdale_standins.platform_engine import STRIDE
@@ -107,7 +107,7 @@
     """Run the measurement and print it."""
     store = f'{LOCAL}:{STORE}'
     with tempfile.TemporaryDirectory() as folder:
-        os.environ[PATH_VARIABLE] = str(write_settings(Path(folder)))
+        os.environ[SETTINGS_PATH_VARIABLE] = str(write_settings(Path(folder)))
         standin = 'cartdale-standin'
         commands = (
             [standin, 'platform-store', '--port', str(STORE)],
--- a/src/cartdale/platform/main.py
+++ b/src/cartdale/platform/main.py
@@ -12,7 +12,10 @@
 from cartdale.daemon.signals import obey_signals
 from cartdale.exceptions import CartdaleError
 from cartdale.logs import configure_json_logs
-from cartdale.platform.settings import PATH_VARIABLE, load_platform_settings
+from cartdale.platform.settings import (
+    SETTINGS_PATH_VARIABLE,
+    load_platform_settings,
+)
 from cartdale.switches import OFF_VARIABLE, parse_switches
 
 _DEFAULT_PATH = '/etc/cartdale/local.conf'
@@ -20,7 +23,7 @@
 
 def main() -> None:
     """Run the daemon with the settings that the platform laid out."""
-    path = Path(os.environ.get(PATH_VARIABLE, _DEFAULT_PATH))
+    path = Path(os.environ.get(SETTINGS_PATH_VARIABLE, _DEFAULT_PATH))
     try:
         settings = load_platform_settings(path)
         switches = parse_switches(os.environ.get(OFF_VARIABLE, ''))
--- a/src/cartdale/platform/settings.py
+++ b/src/cartdale/platform/settings.py
@@ -14,7 +14,7 @@
 from cartdale.fleet.cold import ColdBound
 
 #: Environment variable that holds the path of the settings file.
-PATH_VARIABLE: Final = 'CARTDALE_BOOT'
+SETTINGS_PATH_VARIABLE: Final = 'CARTDALE_BOOT'
 
 _HIGHEST_PORT = 65535
 _MISSING_LINE = 0
