--- a/src/cartdale/daemon/gateway.py
+++ b/src/cartdale/daemon/gateway.py
@@ -214,7 +214,7 @@
         nursery.start_soon(self.peers.run, self.follower, self._stopping)
         nursery.start_soon(self._shares.run)
         nursery.start_soon(self._watch_settings)
-        if self.fleet.switches.has(Mechanism.BRIEFINGS):
+        if self.fleet.switches.is_enabled(Mechanism.BRIEFINGS):
             nursery.start_soon(self._asker.run)
         for listener, app in self._list_interfaces():
             nursery.start_soon(listener.serve, app, self._stopping)
--- a/src/cartdale/fleet/choose.py
+++ b/src/cartdale/fleet/choose.py
@@ -124,10 +124,13 @@
     in Randomized Load Balancing, 2001).
     """
     listed = list(candidates)
-    if context.switches.has(Mechanism.AVOIDANCE):
+    if context.switches.is_enabled(Mechanism.AVOIDANCE):
         listed = _prefer_answering(listed, context.now)
     considered = len(listed)
-    if context.switches.has(Mechanism.FEW_CHOICES) and not needs.compare_all:
+    if (
+        context.switches.is_enabled(Mechanism.FEW_CHOICES)
+        and not needs.compare_all
+    ):
         considered = min(considered, context.choices)
     few = generator.sample(listed, considered)
     best = _choose_best(few, needs, context, generator)
@@ -228,10 +231,10 @@
     else:
         held = load.tokens + GROWTH_RESERVED * load.growth + needs.prompt
         cost = (held / engine.memory_tokens) ** 2
-        if context.switches.has(Mechanism.INTERFERENCE):
+        if context.switches.is_enabled(Mechanism.INTERFERENCE):
             delay = _count_delay(upstream, load, needs, context)
             cost += _DELAY_WEIGHT * delay / engine.memory_tokens
-    if context.switches.has(Mechanism.AVOIDANCE):
+    if context.switches.is_enabled(Mechanism.AVOIDANCE):
         cost += _count_risk(upstream, context.now)
     if upstream.entry.failure_domain != context.failure_domain:
         cost += needs.far_cost
--- a/src/cartdale/gateway/exchange.py
+++ b/src/cartdale/gateway/exchange.py
@@ -152,7 +152,7 @@
 
     def _rank(self, route: Route, customer: Customer | None) -> int:
         switches = self._ports.relay.fleet.switches
-        if not switches.has(Mechanism.URGENCY):
+        if not switches.is_enabled(Mechanism.URGENCY):
             return 0
         return rank_request(route, customer)
 
--- a/src/cartdale/moves/driver.py
+++ b/src/cartdale/moves/driver.py
@@ -124,7 +124,7 @@
 
     async def _empty(self, name: str) -> None:
         """Move this instance's generations away from an engine."""
-        if not self._fleet.switches.has(Mechanism.MOVES):
+        if not self._fleet.switches.is_enabled(Mechanism.MOVES):
             return
         upstream = self._fleet.find(name)
         own = self._untold_at(name)
--- a/src/cartdale/moves/leaving.py
+++ b/src/cartdale/moves/leaving.py
@@ -136,7 +136,7 @@
         if began + generation.most_left * TOKEN_LONGEST <= departure.until:
             generation.stay()
             return
-        if self._fleet.switches.has(Mechanism.TURNS):
+        if self._fleet.switches.is_enabled(Mechanism.TURNS):
             await self._wait_for_turn(turn, began + turn.waits, load)
         if departure.leaves_time(self._clock.now(), turn.takes):
             await generation.leave(departure)
--- a/src/cartdale/news/driver.py
+++ b/src/cartdale/news/driver.py
@@ -218,7 +218,7 @@
     def _take_loads(
         self, peer: str, loads_by_upstream: dict[str, Load]
     ) -> None:
-        if self._fleet.switches.has(Mechanism.LOAD_NEWS):
+        if self._fleet.switches.is_enabled(Mechanism.LOAD_NEWS):
             now = self._clock.now()
             self._fleet.loads.receive(peer, loads_by_upstream, now)
 
--- a/src/cartdale/relay/admission.py
+++ b/src/cartdale/relay/admission.py
@@ -176,7 +176,7 @@
                 chance = float(now < until)
             else:
                 chance = forecast.chance(until - now)
-            if not self._fleet.switches.has(Mechanism.FORECAST):
+            if not self._fleet.switches.is_enabled(Mechanism.FORECAST):
                 chance = 1
             if now >= until or chance < least_chance:
                 return self._refuse(
--- a/src/cartdale/relay/attempts.py
+++ b/src/cartdale/relay/attempts.py
@@ -137,7 +137,7 @@
     _tell_fleet(ports.fleet, ended, upstream, streams=streams)
     after, step = decide(state, ended, affordable=True)
     if isinstance(step, TryAgain) and not isinstance(ended, Withheld):
-        paid = ports.fleet.switches.has(
+        paid = ports.fleet.switches.is_enabled(
             Mechanism.RETRIES
         ) and ports.budget.withdraw(routed.service, ports.clock.now())
         after, step = decide(state, ended, affordable=paid)
--- a/src/cartdale/relay/crash_probes.py
+++ b/src/cartdale/relay/crash_probes.py
@@ -114,7 +114,7 @@
 
     def _suspect(self, link: BrokenLink) -> None:
         """Hold an upstream's end against a request whose link broke."""
-        on = self._fleet.switches.has(Mechanism.QUARANTINE)
+        on = self._fleet.switches.is_enabled(Mechanism.QUARANTINE)
         if not (on and link.identity):
             return
         upstream = link.upstream
--- a/src/cartdale/relay/generation.py
+++ b/src/cartdale/relay/generation.py
@@ -271,7 +271,7 @@
         """Stop it at its source, if it runs on there behind the link."""
         backup = self._state.backup if self._state else None
         target = backup or self._choose_target(set())
-        if not self._ports.fleet.switches.has(Mechanism.RESCUE):
+        if not self._ports.fleet.switches.is_enabled(Mechanism.RESCUE):
             target = None
         action = self._tell(RescueTarget(target))
         if isinstance(action, Copy):
--- a/src/cartdale/relay/passing.py
+++ b/src/cartdale/relay/passing.py
@@ -166,7 +166,7 @@
         since = self._ports.clock.now() - last_at
         if since < _ASK_AFTER:
             return False
-        if not self._ports.fleet.switches.has(Mechanism.SILENCE):
+        if not self._ports.fleet.switches.is_enabled(Mechanism.SILENCE):
             return False
         movable = self._generation.backup or self._repeatable
         if self._last_at and movable and since >= _SILENCE:
--- a/src/cartdale/relay/stream.py
+++ b/src/cartdale/relay/stream.py
@@ -90,7 +90,7 @@
         self._routed = routed
         self._sink = sink
         self._generation = generation
-        resumption = ports.fleet.switches.has(Mechanism.RESUMPTION)
+        resumption = ports.fleet.switches.is_enabled(Mechanism.RESUMPTION)
         self._attempts: AttemptState = begin(
             routed.route
             if resumption
@@ -250,7 +250,7 @@
         :param waiting: to be cancelled.
         """
         with watching:
-            if self._ports.fleet.switches.has(Mechanism.SILENCE):
+            if self._ports.fleet.switches.is_enabled(Mechanism.SILENCE):
                 await await_loss(self._ports, self._generation)
                 waiting.cancel()
 
--- a/src/cartdale/relay/targets.py
+++ b/src/cartdale/relay/targets.py
@@ -77,7 +77,7 @@
     spec = fleet.table.services_by_name.get(source.service)
     if spec is None or spec.engine is None or not spec.engine.backups:
         return None
-    if not fleet.switches.has(Mechanism.BACKUPS):
+    if not fleet.switches.is_enabled(Mechanism.BACKUPS):
         return None
     needs = make_request_needs(routed, frozenset((source.upstream,)))
     if needs.expected < _BACKUP_WORTH:
--- a/src/cartdale/switches.py
+++ b/src/cartdale/switches.py
@@ -55,7 +55,7 @@
 
     off: frozenset[Mechanism] = frozenset()
 
-    def has(self, mechanism: Mechanism) -> bool:
+    def is_enabled(self, mechanism: Mechanism) -> bool:
         """Tell whether a mechanism is on."""
         return mechanism not in self.off
 
--- a/tests/test_switches.py
+++ b/tests/test_switches.py
@@ -19,8 +19,8 @@
     assert parse_switches('') == Switches()
     off = parse_switches(' moves, forecast,')
     assert off.off == {Mechanism.MOVES, Mechanism.FORECAST}
-    assert not off.has(Mechanism.MOVES)
-    assert off.has(Mechanism.BACKUPS)
+    assert not off.is_enabled(Mechanism.MOVES)
+    assert off.is_enabled(Mechanism.BACKUPS)
 
 
 def test_unknown_names_are_all_told() -> None:
