--- a/src/cartdale/asgi.py
+++ b/src/cartdale/asgi.py
@@ -20,7 +20,9 @@
 Header = tuple[bytes, bytes]
 
 
-async def takes_request(scope: AsgiEvent, receive: Receive, send: Send) -> bool:
+async def accept_http_request(
+    scope: AsgiEvent, receive: Receive, send: Send
+) -> bool:
     """Tell whether a connection carries a request; serve its lifespan else."""
     if scope[TYPE] == 'lifespan':
         await _live(receive, send)
@@ -43,7 +45,7 @@
     return body
 
 
-async def answer_at_once(
+async def send_response(
     send: Send, status: int, headers: Iterable[Header] = (), body: bytes = b''
 ) -> None:
     """Write an answer that is known as a whole."""
--- a/src/cartdale/briefing/app.py
+++ b/src/cartdale/briefing/app.py
@@ -19,9 +19,9 @@
     AsgiEvent,
     Receive,
     Send,
-    answer_at_once,
+    accept_http_request,
     read_body,
-    takes_request,
+    send_response,
 )
 from cartdale.briefing.types import Briefing
 from cartdale.clock import Clock
@@ -59,21 +59,21 @@
         self, scope: AsgiEvent, receive: Receive, send: Send
     ) -> None:
         """Answer one ASGI connection."""
-        if not await takes_request(scope, receive, send):
+        if not await accept_http_request(scope, receive, send):
             return
         if scope['path'] != PATH:
-            await answer_at_once(send, HTTPStatus.NOT_FOUND)
+            await send_response(send, HTTPStatus.NOT_FOUND)
             return
         key = await read_body(receive, _BODY_LIMIT)
         if key is None or len(key) < KEY_BYTES:
-            await answer_at_once(send, HTTPStatus.BAD_REQUEST)
+            await send_response(send, HTTPStatus.BAD_REQUEST)
             return
         wall = self._clock.wall()
         # Whoever has the key is meant: the asker has no name here yet.
         briefing = self._describe(_list_accepted(scope))
         envelope = wrap(self._name, '', briefing, wall)
         signed = Authenticator((key,)).sign(envelope)
-        await answer_at_once(send, HTTPStatus.OK, BINARY_HEADERS, signed)
+        await send_response(send, HTTPStatus.OK, BINARY_HEADERS, signed)
 
 
 def open_briefing(raw: bytes, key: bytes, now_wall: int) -> Briefing | None:
--- a/src/cartdale/gateway/app.py
+++ b/src/cartdale/gateway/app.py
@@ -6,7 +6,7 @@
 
 from loguru import logger
 
-from cartdale.asgi import AsgiEvent, Receive, Send, takes_request
+from cartdale.asgi import AsgiEvent, Receive, Send, accept_http_request
 from cartdale.exceptions import CartdaleError
 from cartdale.gateway.exchange import Exchange
 from cartdale.gateway.ports import GatewayPorts
@@ -22,7 +22,7 @@
         self, scope: AsgiEvent, receive: Receive, send: Send
     ) -> None:
         """Answer one ASGI connection."""
-        if await takes_request(scope, receive, send):
+        if await accept_http_request(scope, receive, send):
             exchange = Exchange(self._ports, scope, receive, send)
             try:
                 await exchange.answer()
--- a/src/cartdale/gateway/metrics.py
+++ b/src/cartdale/gateway/metrics.py
@@ -9,8 +9,8 @@
     AsgiEvent,
     Receive,
     Send,
-    answer_at_once,
-    takes_request,
+    accept_http_request,
+    send_response,
 )
 from cartdale.clock import SECOND_MS, Millis
 from cartdale.problems.types import NotRun, Problem
@@ -148,8 +148,8 @@
         self, scope: AsgiEvent, receive: Receive, send: Send
     ) -> None:
         """Answer one ASGI connection."""
-        if not await takes_request(scope, receive, send):
+        if not await accept_http_request(scope, receive, send):
             return
-        await answer_at_once(
+        await send_response(
             send, int(HTTPStatus.OK), (_TEXT_TYPE,), self._metrics.render()
         )
--- a/src/cartdale/gateway/ready.py
+++ b/src/cartdale/gateway/ready.py
@@ -7,8 +7,8 @@
     AsgiEvent,
     Receive,
     Send,
-    answer_at_once,
-    takes_request,
+    accept_http_request,
+    send_response,
 )
 
 
@@ -27,10 +27,10 @@
         self, scope: AsgiEvent, receive: Receive, send: Send
     ) -> None:
         """Answer one ASGI connection."""
-        if not await takes_request(scope, receive, send):
+        if not await accept_http_request(scope, receive, send):
             return
         status = HTTPStatus.NOT_FOUND
         if scope['path'] == self._path:
             ready = self._ready()
             status = HTTPStatus.OK if ready else HTTPStatus.SERVICE_UNAVAILABLE
-        await answer_at_once(send, int(status))
+        await send_response(send, int(status))
--- a/src/cartdale/peers/app.py
+++ b/src/cartdale/peers/app.py
@@ -15,9 +15,9 @@
     AsgiEvent,
     Receive,
     Send,
-    answer_at_once,
+    accept_http_request,
     read_body,
-    takes_request,
+    send_response,
 )
 from cartdale.clock import Clock
 from cartdale.codec import decode_binary
@@ -56,14 +56,14 @@
         self, scope: AsgiEvent, receive: Receive, send: Send
     ) -> None:
         """Answer one ASGI connection."""
-        if not await takes_request(scope, receive, send):
+        if not await accept_http_request(scope, receive, send):
             return
         if scope['path'] != PATH:
-            await answer_at_once(send, HTTPStatus.NOT_FOUND)
+            await send_response(send, HTTPStatus.NOT_FOUND)
             return
         signed = await read_body(receive, BODY_LIMIT)
         if signed is None:
-            await answer_at_once(send, HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
+            await send_response(send, HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
             return
         await self._take(signed, send)
 
@@ -71,15 +71,15 @@
         envelope = self._client.authenticator.verify(signed, self._clock.wall())
         if envelope is None or envelope.recipient != self._name:
             self.refused += 1
-            await answer_at_once(send, HTTPStatus.FORBIDDEN)
+            await send_response(send, HTTPStatus.FORBIDDEN)
             return
         message = self._decode(envelope)
         if message is None:
-            await answer_at_once(send, HTTPStatus.BAD_REQUEST)
+            await send_response(send, HTTPStatus.BAD_REQUEST)
             return
         reply = await self._serve(message)
         answer = self._client.sign_message(envelope.sender, reply)
-        await answer_at_once(send, HTTPStatus.OK, BINARY_HEADERS, answer)
+        await send_response(send, HTTPStatus.OK, BINARY_HEADERS, answer)
 
     def _decode(self, envelope: Envelope) -> object | None:
         shape = self._shapes_by_kind.get(envelope.kind)
