--- a/src/cartdale/daemon/gateway.py
+++ b/src/cartdale/daemon/gateway.py
@@ -22,7 +22,7 @@
 from cartdale.fleet.candidates import count_cold, count_unavailable
 from cartdale.fleet.driver import Fleet
 from cartdale.fleet.store_follower import StoreFollower
-from cartdale.formatting import list_plain_fields
+from cartdale.formatting import format_log_fields
 from cartdale.gateway.app import GatewayApp
 from cartdale.gateway.metrics import (
     Constraints,
@@ -204,7 +204,7 @@
         )
         logger.info(
             'settings reloaded',
-            **list_plain_fields('settings', settings.bounds),
+            **format_log_fields('settings', settings.bounds),
         )
 
     def _start(self, nursery: trio.Nursery) -> None:
--- a/src/cartdale/daemon/peers.py
+++ b/src/cartdale/daemon/peers.py
@@ -18,7 +18,7 @@
 from cartdale.fleet.store_changes import OwnKey, TableWritten
 from cartdale.fleet.store_follower import StoreFollower
 from cartdale.fleet.types import UpstreamEntry
-from cartdale.formatting import list_plain_fields
+from cartdale.formatting import format_log_fields
 from cartdale.news.decide import list_holders
 from cartdale.news.driver import NewsExchange
 from cartdale.news.registration import KEY_NAME, PEER_PREFIX, PeerRegistration
@@ -154,7 +154,7 @@
             return
         logger.error(
             'document of a peer unreadable',
-            **list_plain_fields('change', change),
+            **format_log_fields('change', change),
         )
 
     def is_cut_off(self) -> bool:
@@ -249,7 +249,7 @@
                 logger.info(
                     'configuration not fetched',
                     peer=peer.name,
-                    **list_plain_fields('failure', failure),
+                    **format_log_fields('failure', failure),
                 )
 
     async def _choose_holder(self, told: PeerEntry) -> PeerEntry | None:
--- a/src/cartdale/fleet/driver.py
+++ b/src/cartdale/fleet/driver.py
@@ -46,7 +46,7 @@
     forecast_after_backoff,
     forecast_wait,
 )
-from cartdale.formatting import list_plain_fields
+from cartdale.formatting import format_log_fields
 from cartdale.quarantine.driver import Quarantine
 from cartdale.routes.types import RoutingTable, ServiceSpec
 from cartdale.switches import Switches
@@ -108,7 +108,7 @@
             self.lifecycles += 1
             subject = _name_subject(action)
             logger.info(
-                f'{subject} changed', **list_plain_fields('change', action)
+                f'{subject} changed', **format_log_fields('change', action)
             )
             self.limits.follow(action, _find_subject(after, action))
             self._act(action)
--- a/src/cartdale/fleet/store_follower.py
+++ b/src/cartdale/fleet/store_follower.py
@@ -36,7 +36,7 @@
     Lifecycle,
     UpstreamEntry,
 )
-from cartdale.formatting import list_plain_fields
+from cartdale.formatting import format_log_fields
 from cartdale.routes.match import list_changed_routes
 from cartdale.store.types import (
     Changes,
@@ -325,7 +325,7 @@
     def _note_failure(self, failure: StoreFailure) -> None:
         if not self.failing:
             logger.warning(
-                'store lost', **list_plain_fields('failure', failure)
+                'store lost', **format_log_fields('failure', failure)
             )
         self._failed_at = self._clock.now()
         self.failing = True
--- a/src/cartdale/formatting.py
+++ b/src/cartdale/formatting.py
@@ -14,7 +14,7 @@
     return f'{name}: {text}' if text else name
 
 
-def list_plain_fields(label: str, message: Any) -> dict[str, Plain]:
+def format_log_fields(label: str, message: Any) -> dict[str, Plain]:
     """Return a message for a log line: its type's name, and what it holds.
 
     Of an upstream only the id is told; what is not plain is left out.
--- a/src/cartdale/gateway/exchange.py
+++ b/src/cartdale/gateway/exchange.py
@@ -10,7 +10,7 @@
 from cartdale.asgi import TYPE, AsgiEvent, Receive, Send
 from cartdale.clock import Millis
 from cartdale.codec import encode_json
-from cartdale.formatting import list_plain_fields
+from cartdale.formatting import format_log_fields
 from cartdale.gateway.ports import GatewayPorts
 from cartdale.gateway.sink import AsgiSink
 from cartdale.problems.types import NotRun, NotRunReason, Problem, describe
@@ -218,7 +218,7 @@
         logger.info(
             'refused',
             request=self._request.request_id,
-            **list_plain_fields('problem', problem),
+            **format_log_fields('problem', problem),
             held=self._ports.clock.now() - self._arrived_at,
         )
         wait = getattr(problem, 'retry_after', 0)
--- a/src/cartdale/moves/leaving.py
+++ b/src/cartdale/moves/leaving.py
@@ -10,7 +10,7 @@
 from cartdale.fleet.driver import Fleet
 from cartdale.fleet.loads import Load
 from cartdale.fleet.types import EngineReport, RunReport, UpstreamEntry
-from cartdale.formatting import list_plain_fields
+from cartdale.formatting import format_log_fields
 from cartdale.moves.estimates import (
     SERVES_ON,
     TOKEN_LONGEST,
@@ -182,7 +182,7 @@
             logger.info(
                 'report missing',
                 upstream=entry.upstream,
-                **list_plain_fields('failure', failure),
+                **format_log_fields('failure', failure),
             )
     return EngineReport(0, 0, 0, 0)
 
--- a/src/cartdale/news/registration.py
+++ b/src/cartdale/news/registration.py
@@ -9,7 +9,7 @@
 
 from cartdale.clock import MINUTE_MS, SECOND_MS, Millis, seconds
 from cartdale.codec import encode_json
-from cartdale.formatting import list_plain_fields
+from cartdale.formatting import format_log_fields
 from cartdale.news.roles import stretch
 from cartdale.news.types import PeerEntry
 from cartdale.store.types import (
@@ -111,7 +111,7 @@
         self.failing = not isinstance(granted, Success)
         if not isinstance(granted, Success):
             logger.info(
-                'not listed', **list_plain_fields('failure', granted.failure())
+                'not listed', **format_log_fields('failure', granted.failure())
             )
             return
         self._lease = granted.unwrap()
@@ -138,5 +138,5 @@
                 self.failing = True
                 logger.info(
                     'listing not renewed',
-                    **list_plain_fields('failure', failure),
+                    **format_log_fields('failure', failure),
                 )
--- a/src/cartdale/relay/attempts.py
+++ b/src/cartdale/relay/attempts.py
@@ -12,7 +12,7 @@
 from cartdale.fleet.driver import Fleet
 from cartdale.fleet.pace import Pace
 from cartdale.fleet.types import AddressTakenOver, RequestEnded, Upstream
-from cartdale.formatting import list_plain_fields
+from cartdale.formatting import format_log_fields
 from cartdale.problems.types import NotRun
 from cartdale.relay.admission import NoCapacity, Waiting
 from cartdale.relay.decide import (
@@ -149,7 +149,7 @@
         request=routed.request.request_id,
         upstream=upstream,
         step=type(step).__name__,
-        **list_plain_fields('ended', ended),
+        **format_log_fields('ended', ended),
     )
     return after, step
 
--- a/src/cartdale/relay/generation.py
+++ b/src/cartdale/relay/generation.py
@@ -11,7 +11,7 @@
 
 from cartdale.clock import Millis, seconds
 from cartdale.fleet.types import UpstreamEntry
-from cartdale.formatting import list_plain_fields
+from cartdale.formatting import format_log_fields
 from cartdale.moves import decide as moves
 from cartdale.moves.estimates import Departure
 from cartdale.moves.types import (
@@ -300,7 +300,7 @@
             before=before.phase,
             after=after.phase,
             events=self.events,
-            **list_plain_fields('message', message),
+            **format_log_fields('message', message),
         )
         return actions[0] if actions else None
 
--- a/tests/test_log_fields.py
+++ b/tests/test_log_fields.py
@@ -9,7 +9,7 @@
 from loguru import logger
 
 from cartdale.fleet.types import BeganLeaving, Lifecycle, UpstreamEntry
-from cartdale.formatting import format_error, list_plain_fields
+from cartdale.formatting import format_error, format_log_fields
 from cartdale.moves.types import CopyRejected, TargetChosen
 from cartdale.relay.types import CopyFault
 from cartdale_standins.platform_store import PlatformStoreFaults
@@ -102,7 +102,7 @@
     ],
 )
 def test_messages_are_told_by_name_and_plain_fields(message, told) -> None:
-    assert list_plain_fields('is', message) == told
+    assert format_log_fields('is', message) == told
 
 
 def test_errors_are_told_by_type_and_text() -> None:
