--- a/src/cartdale/briefing/driver.py
+++ b/src/cartdale/briefing/driver.py
@@ -14,7 +14,7 @@
     open_briefing,
 )
 from cartdale.briefing.types import Briefing
-from cartdale.clock import Clock, Millis, seconds
+from cartdale.clock import Clock, Millis, as_seconds
 from cartdale.peers.documents import ENCODINGS
 from cartdale.transport import CORE_BROKEN, CORE_NOT_SENT
 
@@ -57,17 +57,17 @@
 
     async def run(self) -> None:
         """Ask until it knows what it needs, from others or the store."""
-        await trio.sleep(seconds(_STORE_HEAD_START))
+        await trio.sleep(as_seconds(_STORE_HEAD_START))
         while self._addresses and not self._knows_enough():
             async with trio.open_nursery() as nursery:
                 for address in self._addresses:
                     nursery.start_soon(self._ask, address)
-            await trio.sleep(seconds(_ASK_EVERY))
+            await trio.sleep(as_seconds(_ASK_EVERY))
 
     async def _ask(self, address: str) -> None:
         key = secrets.token_bytes(KEY_BYTES)
         try:
-            with trio.fail_after(seconds(_PATIENCE)):
+            with trio.fail_after(as_seconds(_PATIENCE)):
                 response = await self._pool.request(
                     'POST',
                     f'http://{address}{PATH}',
--- a/src/cartdale/clock.py
+++ b/src/cartdale/clock.py
@@ -88,6 +88,6 @@
         self._current += step
 
 
-def seconds(duration: Millis) -> float:
+def as_seconds(duration: Millis) -> float:
     """Convert milliseconds to the seconds that libraries expect."""
     return duration / SECOND_MS
--- a/src/cartdale/configuration/driver.py
+++ b/src/cartdale/configuration/driver.py
@@ -9,7 +9,7 @@
 from returns.result import Failure
 from tenacity import AsyncRetrying, retry_if_result, wait_random_exponential
 
-from cartdale.clock import Clock, Millis, seconds
+from cartdale.clock import Clock, Millis, as_seconds
 from cartdale.configuration.decide import decide
 from cartdale.configuration.storage import (
     HEAD_KEY,
@@ -100,7 +100,7 @@
         :param watches: tells whether this instance is one of the few that
             wait at the store; the others hear from them and read seldom.
         """
-        await trio.sleep(seconds(self._draw(_START_SPREAD)))
+        await trio.sleep(as_seconds(self._draw(_START_SPREAD)))
         while True:
             async for attempt in self._retrying():
                 with attempt:
@@ -108,13 +108,13 @@
             if watches():
                 await self._wait_for_change()
                 continue
-            await trio.sleep(seconds(READ_SELDOM + self._draw(READ_SELDOM)))
+            await trio.sleep(as_seconds(READ_SELDOM + self._draw(READ_SELDOM)))
 
     def _retrying(self) -> AsyncRetrying:
         return AsyncRetrying(
             sleep=trio.sleep,
             wait=wait_random_exponential(
-                multiplier=seconds(_PAUSE), max=seconds(_LONGEST_PAUSE)
+                multiplier=as_seconds(_PAUSE), max=as_seconds(_LONGEST_PAUSE)
             ),
             retry=retry_if_result(not_),
         )
@@ -127,7 +127,7 @@
             HEAD_KEY, self._seen.mod_revision, WATCH_TIMEOUT
         )
         if isinstance(waited, Failure):
-            await trio.sleep(seconds(_PAUSE))
+            await trio.sleep(as_seconds(_PAUSE))
 
     async def _catch_up_to(self, seen: StoredHead) -> bool:
         self.apply(RevisionAnnounced(seen.head.revision))
--- a/src/cartdale/daemon/gateway.py
+++ b/src/cartdale/daemon/gateway.py
@@ -10,7 +10,7 @@
 
 from cartdale.briefing.app import BriefingApp
 from cartdale.briefing.driver import BriefingClient
-from cartdale.clock import SECOND_MS, Millis, SystemClock, seconds
+from cartdale.clock import SECOND_MS, Millis, SystemClock, as_seconds
 from cartdale.daemon.briefing import Briefings
 from cartdale.daemon.inflight import InFlight
 from cartdale.daemon.peer_links import SocketLinks
@@ -235,7 +235,7 @@
 
     async def _serve_callers(self) -> None:
         """Read connections once there is a configuration, or soon anyway."""
-        with trio.move_on_after(seconds(_FIRST_CONFIGURATION)):
+        with trio.move_on_after(as_seconds(_FIRST_CONFIGURATION)):
             await self.follower.configured.wait()
         logger.info('serving', version=self.fleet.table.version)
         await self._callers.serve(self._app, self._stopping)
@@ -243,7 +243,7 @@
     async def _watch_settings(self) -> None:
         """Read the settings again when the file changes without a signal."""
         while True:
-            await trio.sleep(seconds(_SETTINGS_EVERY))
+            await trio.sleep(as_seconds(_SETTINGS_EVERY))
             stamp = read_stamp(self._path)
             if stamp != self._stamp:
                 self._stamp = stamp
@@ -267,11 +267,11 @@
     async def _leave(self) -> None:
         began = self._clock.now()
         logger.info('leaving', in_flight=self._app.count)
-        await trio.sleep(seconds(_LEAVE_PAUSE))
+        await trio.sleep(as_seconds(_LEAVE_PAUSE))
         self._stopping.set()
         last = began + self._settings.bounds.grace - _STOP_MARGIN
         while self._app.count and self._clock.now() < last:
-            await trio.sleep(seconds(_STOP_POLL))
+            await trio.sleep(as_seconds(_STOP_POLL))
         logger.info('left', in_flight=self._app.count)
         await self.peers.withdraw()
         self._left.set()
--- a/src/cartdale/daemon/group.py
+++ b/src/cartdale/daemon/group.py
@@ -4,7 +4,7 @@
 
 import trio
 
-from cartdale.clock import SECOND_MS, Clock, Millis, seconds
+from cartdale.clock import SECOND_MS, Clock, Millis, as_seconds
 from cartdale.configuration.driver import Configurator
 from cartdale.daemon.clients import make_client
 from cartdale.daemon.links import PeerLinks, SharedSlices
@@ -152,7 +152,7 @@
 
     async def _forget_crashes(self) -> None:
         while True:
-            await trio.sleep(seconds(_FORGET_EVERY))
+            await trio.sleep(as_seconds(_FORGET_EVERY))
             self.quarantine.forget()
 
     def _prefers_slot(self, number: int) -> bool:
--- a/src/cartdale/daemon/peers.py
+++ b/src/cartdale/daemon/peers.py
@@ -11,7 +11,7 @@
 from loguru import logger
 from returns.result import Failure, Success
 
-from cartdale.clock import SECOND_MS, Clock, Millis, seconds
+from cartdale.clock import SECOND_MS, Clock, Millis, as_seconds
 from cartdale.codec import decode_json
 from cartdale.daemon.peer_links import PeerLinks
 from cartdale.fleet.driver import Fleet
@@ -111,7 +111,7 @@
 
     async def withdraw(self) -> None:
         """Take this instance off the list, if the store answers soon."""
-        with trio.move_on_after(seconds(_WITHDRAW_TIMEOUT)):
+        with trio.move_on_after(as_seconds(_WITHDRAW_TIMEOUT)):
             await self._registration.withdraw()
 
     def apply_own_key(self, change: OwnKey) -> None:
@@ -192,7 +192,7 @@
         Of two that start together at least one then reads of the other, and
         tells it news; nobody needs to watch the list.
         """
-        with trio.move_on_after(seconds(_REGISTRATION_WAIT)):
+        with trio.move_on_after(as_seconds(_REGISTRATION_WAIT)):
             await self._tried_to_register.wait()
         await follower.run()
 
@@ -203,7 +203,7 @@
             if key:
                 self.take_key(key)
                 return
-            await trio.sleep(seconds(_PROPOSE_EVERY))
+            await trio.sleep(as_seconds(_PROPOSE_EVERY))
 
     def _read_after_listing(self) -> None:
         """Read who is there, if the first read came before the listing."""
@@ -225,7 +225,7 @@
         while not stored:
             stored = await self._registration.propose_key(self.key)
             if not stored:
-                await trio.sleep(seconds(_PROPOSE_EVERY))
+                await trio.sleep(as_seconds(_PROPOSE_EVERY))
         if stored != self.key:
             self.take_key(stored)
 
@@ -261,7 +261,7 @@
         if not self.news.fetches_at_once(told):
             around = len(self.news.list_recipients())
             spread = int(_FETCH_SPREAD * around * self._generator.random())
-            await trio.sleep(seconds(spread))
+            await trio.sleep(as_seconds(spread))
         version = self._fleet.table.version
         now = self._clock.now()
         holders = list_holders(self.news.state, version, now)
--- a/src/cartdale/daemon/runtime.py
+++ b/src/cartdale/daemon/runtime.py
@@ -12,7 +12,7 @@
 from cartdale.callers.keyed import KeyGuard
 from cartdale.callers.plain import PlainGateway, PlainPorts
 from cartdale.callers.types import Directory, make_directory
-from cartdale.clock import SECOND_MS, Clock, Millis, SystemClock, seconds
+from cartdale.clock import SECOND_MS, Clock, Millis, SystemClock, as_seconds
 from cartdale.configuration.bodies import decode_bodies
 from cartdale.configuration.driver import Configurator
 from cartdale.configuration.types import ConfigurationState
@@ -168,7 +168,7 @@
                 serving.start_soon(listener.serve, app, self._stopping)
             await self._stopping.wait()
             while callers.count or operators.count:
-                await trio.sleep(seconds(_STOP_POLL))
+                await trio.sleep(as_seconds(_STOP_POLL))
             serving.cancel_scope.cancel()
 
     def _make_callers(self, nursery: trio.Nursery) -> CallerApp:
@@ -243,7 +243,7 @@
         return PlainService(self._client, upstream.address, timeout)
 
     async def _stop_later(self) -> None:
-        await trio.sleep(seconds(_LEAVE_PAUSE))
+        await trio.sleep(as_seconds(_LEAVE_PAUSE))
         self._stopping.set()
 
     async def _report(self) -> Report:
--- a/src/cartdale/daemon/shares.py
+++ b/src/cartdale/daemon/shares.py
@@ -2,7 +2,7 @@
 
 import trio
 
-from cartdale.clock import SECOND_MS, Clock, Millis, seconds
+from cartdale.clock import SECOND_MS, Clock, Millis, as_seconds
 from cartdale.daemon.peers import Peers
 from cartdale.daemon.serve import BoundListener
 from cartdale.fleet.choose import CHOICES, CHOICES_WITH_STALE_LOADS
@@ -43,11 +43,11 @@
     async def run(self) -> None:
         """Look once a second, for ever, and as soon as others are known."""
         self._look()
-        with trio.move_on_after(seconds(_LOOK_EVERY)):
+        with trio.move_on_after(as_seconds(_LOOK_EVERY)):
             await self._follower.synced.wait()
         while True:
             self._look()
-            await trio.sleep(seconds(_LOOK_EVERY))
+            await trio.sleep(as_seconds(_LOOK_EVERY))
 
     def _look(self) -> None:
         limits = self._fleet.table.limits
--- a/src/cartdale/daemon/upstreams.py
+++ b/src/cartdale/daemon/upstreams.py
@@ -6,7 +6,7 @@
 import httpx
 import trio
 
-from cartdale.clock import SECOND_MS, Clock, Millis, seconds
+from cartdale.clock import SECOND_MS, Clock, Millis, as_seconds
 from cartdale.declarations.types import Declarations
 from cartdale.engines.http import HttpEngine
 from cartdale.engines.types import Engine
@@ -79,13 +79,13 @@
 
     async def _tick(self) -> None:
         while True:
-            await trio.sleep(seconds(_TICK))
+            await trio.sleep(as_seconds(_TICK))
             if self.router.state.waiting:
                 self.router.dispatch(Tick())
 
     async def _poll(self, group: GroupView) -> None:
         while True:
-            await trio.sleep(seconds(_REPORT_EVERY))
+            await trio.sleep(as_seconds(_REPORT_EVERY))
             decided = [
                 upstream
                 for upstream in self.router.state.engines_by_upstream
@@ -98,7 +98,7 @@
     async def _follow_entries(self, group: GroupView) -> None:
         known = group.alive_names()
         while True:
-            await trio.sleep(seconds(_FOLLOW_EVERY))
+            await trio.sleep(as_seconds(_FOLLOW_EVERY))
             alive = group.alive_names()
             for gone in known - alive:
                 self.router.dispatch(EntryGone(gone))
--- a/src/cartdale/engines/http.py
+++ b/src/cartdale/engines/http.py
@@ -12,7 +12,7 @@
 from sseclient import SSEClient
 
 from cartdale.client_transport import NOT_SENT
-from cartdale.clock import Millis, seconds
+from cartdale.clock import Millis, as_seconds
 from cartdale.codec import decode_json, encode_json
 from cartdale.engines.types import (
     EngineFailure,
@@ -67,7 +67,7 @@
     ) -> None:
         self._client = client
         self._address = address
-        self._timeout = seconds(timeout)
+        self._timeout = as_seconds(timeout)
         self._stream_timeout = httpx.Timeout(None, connect=self._timeout)
 
     @asynccontextmanager
@@ -111,7 +111,7 @@
         answer = await self._call(
             'GET',
             f'/v1/streams/{generation}/status',
-            timeout=seconds(timeout),
+            timeout=as_seconds(timeout),
         )
         return answer.map(_to_status)
 
@@ -215,7 +215,7 @@
 
 async def _drain(received: AsyncIterator[bytes]) -> None:
     """Read the end of the body, so that the connection can be used again."""
-    with trio.move_on_after(seconds(_DRAIN_PATIENCE)):
+    with trio.move_on_after(as_seconds(_DRAIN_PATIENCE)):
         await anext(received, b'')
 
 
--- a/src/cartdale/engines/plain.py
+++ b/src/cartdale/engines/plain.py
@@ -10,7 +10,7 @@
 from returns.result import Failure, Result, Success
 
 from cartdale.client_transport import NOT_SENT
-from cartdale.clock import SECOND_MS, Millis, seconds
+from cartdale.clock import SECOND_MS, Millis, as_seconds
 from cartdale.engines.http import find_backoff
 from cartdale.engines.types import (
     EngineFailure,
@@ -75,7 +75,7 @@
     ) -> None:
         self._client = client
         self._address = address
-        self._timeout = seconds(timeout)
+        self._timeout = as_seconds(timeout)
 
     async def call(
         self, asked: PlainRequest
@@ -109,12 +109,12 @@
         url = httpx.URL(self._address)
         port = url.port or _PORTS_BY_SCHEME[url.scheme]
         try:
-            with trio.fail_after(seconds(_CONNECT_TIMEOUT)):
+            with trio.fail_after(as_seconds(_CONNECT_TIMEOUT)):
                 stream = await trio.open_tcp_stream(url.host, port)
         except (OSError, trio.TooSlowError):
             return True
         async with stream:
-            with trio.move_on_after(seconds(_CLOSED_WITHIN)):
+            with trio.move_on_after(as_seconds(_CLOSED_WITHIN)):
                 return await _is_closed(stream)
         return False
 
--- a/src/cartdale/fleet/driver.py
+++ b/src/cartdale/fleet/driver.py
@@ -8,7 +8,7 @@
 import trio
 from loguru import logger
 
-from cartdale.clock import Clock, Millis, seconds
+from cartdale.clock import Clock, Millis, as_seconds
 from cartdale.fleet.candidates import (
     UnavailableReason,
     find_unavailable_reason,
@@ -141,7 +141,7 @@
     async def run(self) -> None:
         """Let time pass, for ever."""
         while True:
-            await trio.sleep(seconds(_TICK))
+            await trio.sleep(as_seconds(_TICK))
             self.dispatch(TimePassed())
             self.quarantine.forget()
             self.cold_gate.forget(self._clock.now())
--- a/src/cartdale/fleet/store_follower.py
+++ b/src/cartdale/fleet/store_follower.py
@@ -16,7 +16,7 @@
     wait_random_exponential,
 )
 
-from cartdale.clock import MINUTE_MS, SECOND_MS, Clock, Millis, seconds
+from cartdale.clock import MINUTE_MS, SECOND_MS, Clock, Millis, as_seconds
 from cartdale.fleet.driver import Fleet
 from cartdale.fleet.evacuation import Evacuation
 from cartdale.fleet.store_changes import (
@@ -165,7 +165,7 @@
         rested: Millis = 0
         until = _READ_EVERY
         while rested < until and not self._must_read():
-            await trio.sleep(seconds(_LOOK_EVERY))
+            await trio.sleep(as_seconds(_LOOK_EVERY))
             rested += _LOOK_EVERY
             if self._hears_nobody():
                 until = min(until, rested + _SILENT_READ_EVERY)
@@ -303,7 +303,7 @@
             change = self._translate(stored)
             if change is not None:
                 self._take(change)
-        await trio.sleep(seconds(_GATHER))
+        await trio.sleep(as_seconds(_GATHER))
         return max(revision, changes.store_revision)
 
     def _take(self, change: StoredChange) -> None:
--- a/src/cartdale/ledger/owner.py
+++ b/src/cartdale/ledger/owner.py
@@ -9,7 +9,7 @@
 from loguru import logger
 from returns.result import Failure, Success
 
-from cartdale.clock import SECOND_MS, Clock, Millis, seconds
+from cartdale.clock import SECOND_MS, Clock, Millis, as_seconds
 from cartdale.codec import decode_json, encode_json
 from cartdale.ledger.decide import decide, first_horizon
 from cartdale.ledger.keys import slot_of
@@ -282,14 +282,14 @@
 
     async def _renew_for_ever(self) -> None:
         while True:
-            await trio.sleep(seconds(RENEW_EVERY))
+            await trio.sleep(as_seconds(RENEW_EVERY))
             await self.renew()
 
     async def _scan_for_ever(self) -> None:
         while True:
             await self._safe_scan()
             factor = 1 + self._generator.uniform(-_JITTER, _JITTER)
-            await trio.sleep(seconds(int(SCAN_EVERY * factor)))
+            await trio.sleep(as_seconds(int(SCAN_EVERY * factor)))
 
     async def _safe_scan(self) -> None:
         try:
--- a/src/cartdale/membership/driver.py
+++ b/src/cartdale/membership/driver.py
@@ -9,7 +9,7 @@
 import trio
 from returns.result import Success
 
-from cartdale.clock import SECOND_MS, Clock, Millis, seconds
+from cartdale.clock import SECOND_MS, Clock, Millis, as_seconds
 from cartdale.codec import decode_json
 from cartdale.membership.decide import decide, list_alive, select_news
 from cartdale.membership.ranking import rank_names
@@ -148,7 +148,7 @@
             async with trio.open_nursery() as nursery:
                 for tell in tells:
                     nursery.start_soon(self._exchange, tell)
-            await trio.sleep(seconds(self._vary(ROUND_MS)))
+            await trio.sleep(as_seconds(self._vary(ROUND_MS)))
 
     async def _send_urgent(self) -> None:
         while True:
@@ -163,7 +163,7 @@
     async def _publish_crashes(self) -> None:
         while True:
             await self._crashes_learnt.wait()
-            await trio.sleep(seconds(_CRASHES_GATHERED))
+            await trio.sleep(as_seconds(_CRASHES_GATHERED))
             self._crashes_learnt = trio.Event()
             self.dispatch(CrashesLearnt())
 
@@ -188,12 +188,12 @@
             await self._read_list()
             alone = not self.state.members_by_name
             period = _LIST_WHEN_ALONE if alone else _LIST_EVERY
-            await trio.sleep(seconds(self._vary(period)))
+            await trio.sleep(as_seconds(self._vary(period)))
 
     async def _read_list(self) -> None:
         try:
             response = await self._ports.client.get(
-                self._ports.list_url, timeout=seconds(_LIST_TIMEOUT)
+                self._ports.list_url, timeout=as_seconds(_LIST_TIMEOUT)
             )
             listed = decode_json(response.content, InstanceList)
         except (httpx.HTTPError, msgspec.MsgspecError):
--- a/src/cartdale/moves/driver.py
+++ b/src/cartdale/moves/driver.py
@@ -5,7 +5,7 @@
 import trio
 from loguru import logger
 
-from cartdale.clock import Clock, seconds
+from cartdale.clock import Clock, as_seconds
 from cartdale.fleet.driver import Fleet
 from cartdale.fleet.types import LeavingAnnounced, Lifecycle, UpstreamEntry
 from cartdale.moves.estimates import (
@@ -65,7 +65,7 @@
             self._fleet.on_evacuating = self.give_up_backups
             looks = 0
             while True:
-                await trio.sleep(seconds(ASK_EVERY))
+                await trio.sleep(as_seconds(ASK_EVERY))
                 self._move_late_arrivals()
                 looks += 1
                 await self._ask_engines(looks)
--- a/src/cartdale/moves/leaving.py
+++ b/src/cartdale/moves/leaving.py
@@ -6,7 +6,7 @@
 from loguru import logger
 from returns.result import Failure, Success
 
-from cartdale.clock import Clock, Millis, seconds
+from cartdale.clock import Clock, Millis, as_seconds
 from cartdale.fleet.driver import Fleet
 from cartdale.fleet.loads import Load
 from cartdale.fleet.types import EngineReport, RunReport, UpstreamEntry
@@ -107,11 +107,11 @@
 
     async def _learn_end(self, departure: Departure) -> None:
         """Read when the engine is gone, once its reports can tell."""
-        await trio.sleep(seconds(_REPORT_LAG))
+        await trio.sleep(as_seconds(_REPORT_LAG))
         for _ in range(_END_READS):
             held = await read_report(self._upstreams, self._entry)
             if held.leaves_in is None:
-                await trio.sleep(seconds(ASK_EVERY))
+                await trio.sleep(as_seconds(ASK_EVERY))
                 continue
             departure.until = self._clock.now() + held.leaves_in - _REPORT_LAG
             logger.info(
@@ -166,7 +166,7 @@
             ended = load.awaiting_copy - now_load.awaiting_copy
             if may_begin(turn, ended, now - busy_at):
                 break
-            await trio.sleep(seconds(_LOOK_EVERY))
+            await trio.sleep(as_seconds(_LOOK_EVERY))
             now = self._clock.now()
 
 
--- a/src/cartdale/news/domain_publisher.py
+++ b/src/cartdale/news/domain_publisher.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from cartdale.clock import Clock, Millis, seconds
+from cartdale.clock import Clock, Millis, as_seconds
 from cartdale.fleet.driver import Fleet
 from cartdale.news.decide import ALIVE_MS, count_reporters
 from cartdale.news.limits import merge_limit_news, sum_demand
@@ -106,8 +106,8 @@
         An upstream that leaves gives a second or two of notice; who watches
         the store may be in another failure domain.
         """
-        await trio.sleep(seconds(_URGENT_EVERY))
-        with trio.move_on_after(seconds(_CHANGED_EVERY - _URGENT_EVERY)):
+        await trio.sleep(as_seconds(_URGENT_EVERY))
+        with trio.move_on_after(as_seconds(_CHANGED_EVERY - _URGENT_EVERY)):
             while self._spoken_of == self._list_urgent():
                 await self._fleet.changed()
         self._spoken_of = self._list_urgent()
--- a/src/cartdale/news/driver.py
+++ b/src/cartdale/news/driver.py
@@ -6,7 +6,7 @@
 import trio
 from loguru import logger
 
-from cartdale.clock import Clock, Millis, seconds
+from cartdale.clock import Clock, Millis, as_seconds
 from cartdale.codec import decode_binary
 from cartdale.fleet.driver import Fleet
 from cartdale.fleet.limit_gate import LimitParticipants
@@ -253,7 +253,7 @@
     async def _send(self) -> None:
         while True:
             factor = stretch(len(self.list_recipients()))
-            await trio.sleep(seconds(_CHANGED_EVERY * factor))
+            await trio.sleep(as_seconds(_CHANGED_EVERY * factor))
             await self._wait_for_news(_UNCHANGED_EVERY * factor)
             if self.authenticator is None:
                 continue
@@ -262,7 +262,7 @@
                 self.send_to(signed, peer)
 
     async def _wait_for_news(self, longest: Millis) -> None:
-        with trio.move_on_after(seconds(longest)):
+        with trio.move_on_after(as_seconds(longest)):
             while not self._writer.has_new():
                 await self._fleet.announced()
 
--- a/src/cartdale/news/registration.py
+++ b/src/cartdale/news/registration.py
@@ -7,7 +7,7 @@
 from loguru import logger
 from returns.result import Failure, Result, Success
 
-from cartdale.clock import MINUTE_MS, SECOND_MS, Millis, seconds
+from cartdale.clock import MINUTE_MS, SECOND_MS, Millis, as_seconds
 from cartdale.codec import encode_json
 from cartdale.formatting import format_log_fields
 from cartdale.news.roles import stretch
@@ -77,7 +77,7 @@
             else:
                 await self._register()
             pause = self._choose_pause() if self._listed else _RETRY_EVERY
-            await trio.sleep(seconds(pause))
+            await trio.sleep(as_seconds(pause))
 
     async def withdraw(self) -> None:
         """Remove this instance from the list."""
--- a/src/cartdale/peers/client.py
+++ b/src/cartdale/peers/client.py
@@ -8,7 +8,7 @@
 import msgspec
 from returns.result import Failure, Result, Success
 
-from cartdale.clock import Clock, Millis, seconds
+from cartdale.clock import Clock, Millis, as_seconds
 from cartdale.codec import decode_binary
 from cartdale.formatting import format_error
 from cartdale.peers.authentication import Authenticator, Envelope, wrap
@@ -136,6 +136,6 @@
 
 
 def _make_extensions(timeout: Millis) -> dict[str, object]:
-    longest = seconds(timeout)
+    longest = as_seconds(timeout)
     limits = {'connect': longest, 'read': longest, 'write': longest}
     return {'timeout': limits}
--- a/src/cartdale/placement/driver.py
+++ b/src/cartdale/placement/driver.py
@@ -7,7 +7,7 @@
 import trio
 from returns.result import Failure, Success
 
-from cartdale.clock import SECOND_MS, Clock, Millis, seconds
+from cartdale.clock import SECOND_MS, Clock, Millis, as_seconds
 from cartdale.declarations.types import Declarations
 from cartdale.membership.driver import Membership
 from cartdale.membership.types import MemberNews, PeerSilent
@@ -66,7 +66,7 @@
         """Report to other placers what ended, for ever."""
         while True:
             await self._reported.wait()
-            await trio.sleep(seconds(_REPORT_PAUSE))
+            await trio.sleep(as_seconds(_REPORT_PAUSE))
             self._reported = trio.Event()
             reports = self._reports_by_name
             self._reports_by_name = {}
--- a/src/cartdale/platform/pools.py
+++ b/src/cartdale/platform/pools.py
@@ -5,7 +5,7 @@
 
 import httpcore
 
-from cartdale.clock import SECOND_MS, Millis, seconds
+from cartdale.clock import SECOND_MS, Millis, as_seconds
 
 #: A connection comes up in a few milliseconds, or its opening packet was
 #: dropped and is sent again after a second.
@@ -44,6 +44,6 @@
 
     :param timeout: longest wait for bytes; ``None`` for no bound.
     """
-    longest = None if timeout is None else seconds(timeout)
-    connect = seconds(min(timeout or _CONNECT_TIMEOUT, _CONNECT_TIMEOUT))
+    longest = None if timeout is None else as_seconds(timeout)
+    connect = as_seconds(min(timeout or _CONNECT_TIMEOUT, _CONNECT_TIMEOUT))
     return {'timeout': {'connect': connect, 'read': longest, 'write': longest}}
--- a/src/cartdale/quarantine/persistence.py
+++ b/src/cartdale/quarantine/persistence.py
@@ -12,7 +12,7 @@
 from loguru import logger
 from returns.result import Success
 
-from cartdale.clock import MINUTE_MS, SECOND_MS, Clock, Millis, seconds
+from cartdale.clock import MINUTE_MS, SECOND_MS, Clock, Millis, as_seconds
 from cartdale.codec import decode_binary, encode_binary
 from cartdale.quarantine.driver import Quarantine
 from cartdale.quarantine.identity import Identity
@@ -62,7 +62,7 @@
         """Write what is found out, one after another, for ever."""
         async for identity in self._take:
             while not await self._write(identity):
-                await trio.sleep(seconds(_RETRY_EVERY))
+                await trio.sleep(as_seconds(_RETRY_EVERY))
 
     def write_again(self) -> None:
         """Write once more what this instance had written: it may be gone."""
--- a/src/cartdale/relay/admission.py
+++ b/src/cartdale/relay/admission.py
@@ -12,7 +12,7 @@
 import trio
 from loguru import logger
 
-from cartdale.clock import SECOND_MS, Clock, Millis, seconds
+from cartdale.clock import SECOND_MS, Clock, Millis, as_seconds
 from cartdale.fleet.candidates import UnavailableReason
 from cartdale.fleet.choose import RequestNeeds
 from cartdale.fleet.driver import Fleet
@@ -183,7 +183,7 @@
                     waiting, forecast, chance, unavailable_reason
                 )
             least_chance = _LEAST_CHANCE_LEFT
-            with trio.move_on_after(seconds(min(until - now, _LOOK_EVERY))):
+            with trio.move_on_after(as_seconds(min(until - now, _LOOK_EVERY))):
                 await self._fleet.changed()
 
     def _refuse(
--- a/src/cartdale/relay/generation.py
+++ b/src/cartdale/relay/generation.py
@@ -9,7 +9,7 @@
 import trio
 from loguru import logger
 
-from cartdale.clock import Millis, seconds
+from cartdale.clock import Millis, as_seconds
 from cartdale.fleet.types import UpstreamEntry
 from cartdale.formatting import format_log_fields
 from cartdale.moves import decide as moves
@@ -166,7 +166,7 @@
                     # Others need not wait until there is room for this one.
                     self._occupancy.exempt()
                     refused.clear()
-                    await trio.sleep(seconds(pause))
+                    await trio.sleep(as_seconds(pause))
                     pause *= 2
                 elif await self._copy_to(target, departure):
                     break
@@ -247,14 +247,14 @@
             return self._tell(LinkQuiet())
         if self._copier.renewed and self._state is not None:
             pause = moves.choose_pause(self._state)
-            await trio.sleep(seconds(min(left, pause)))
+            await trio.sleep(as_seconds(min(left, pause)))
         return self._tell(LinkBusy())
 
     async def _copy(
         self, action: Copy, timeout: Millis = COPY_TIMEOUT
     ) -> Action | None:
         if action.pause:
-            await trio.sleep(seconds(action.pause))
+            await trio.sleep(as_seconds(action.pause))
         state = self._state
         if state is None or state.target is None or self._ended:
             return None
--- a/src/cartdale/relay/passing.py
+++ b/src/cartdale/relay/passing.py
@@ -5,7 +5,7 @@
 import trio
 from loguru import logger
 
-from cartdale.clock import SECOND_MS, Millis, seconds
+from cartdale.clock import SECOND_MS, Millis, as_seconds
 from cartdale.fleet.types import UpstreamEntry
 from cartdale.invariants import ONCE_IN_ORDER, check
 from cartdale.relay.frames import EventFrames, follows, read_id
@@ -152,7 +152,7 @@
         ran_on = False
         while not ran_on or not await self._is_silent():
             slept_at = self._ports.clock.now()
-            await trio.sleep(seconds(_ASK_AFTER))
+            await trio.sleep(as_seconds(_ASK_AFTER))
             # An instance that stood still itself first reads what has come.
             slept = self._ports.clock.now() - slept_at
             ran_on = slept < 2 * _ASK_AFTER
--- a/src/cartdale/relay/plain.py
+++ b/src/cartdale/relay/plain.py
@@ -5,7 +5,7 @@
 import trio
 from returns.result import Failure, Result, Success
 
-from cartdale.clock import seconds
+from cartdale.clock import as_seconds
 from cartdale.fleet.loads import Assignment
 from cartdale.fleet.types import Upstream
 from cartdale.problems.types import NotRunReason, OutcomeUnknown, Problem
@@ -71,7 +71,7 @@
         """Return an upstream's answer, or why there is none."""
         self._ports.budget.count(self._routed.service, self._ports.clock.now())
         left = time_left(self._ports, self._routed)
-        with trio.move_on_after(seconds(left)):
+        with trio.move_on_after(as_seconds(left)):
             return await self._try_upstreams()
         return Failure(self._time_out())
 
@@ -153,7 +153,7 @@
         """Return how many seconds an attempt may stay silent."""
         target = self._routed.route.target_latency
         if self._state.allows_another and target:
-            return seconds(int(_PATIENCE_SHARE * target))
+            return as_seconds(int(_PATIENCE_SHARE * target))
         return inf
 
     def _time_out(self) -> Problem:
--- a/src/cartdale/relay/silence.py
+++ b/src/cartdale/relay/silence.py
@@ -9,7 +9,7 @@
 import trio
 from loguru import logger
 
-from cartdale.clock import SECOND_MS, Millis, seconds
+from cartdale.clock import SECOND_MS, Millis, as_seconds
 from cartdale.fleet.types import EngineReport
 from cartdale.relay.generation import RunningGeneration
 from cartdale.relay.ports import RelayPorts
@@ -80,10 +80,10 @@
     For a request of which nothing has come yet. Without this its caller would
     wait until the time limit for an answer that nobody makes.
     """
-    await trio.sleep(seconds(LOOK_AFTER))
+    await trio.sleep(as_seconds(LOOK_AFTER))
     without = 0
     while without < REPORTS_WITHOUT:
         state = await look_up(ports, generation)
         without = without + 1 if state is RunState.GONE else 0
         if without < REPORTS_WITHOUT:
-            await trio.sleep(seconds(_LOOK_EVERY))
+            await trio.sleep(as_seconds(_LOOK_EVERY))
--- a/src/cartdale/relay/stream.py
+++ b/src/cartdale/relay/stream.py
@@ -7,7 +7,7 @@
 from loguru import logger
 from returns.result import Failure, Result, Success
 
-from cartdale.clock import Millis, seconds
+from cartdale.clock import Millis, as_seconds
 from cartdale.fleet.types import RequestEnded, Upstream, UpstreamEntry
 from cartdale.problems.types import NotRunReason, OutcomeUnknown, Problem
 from cartdale.quarantine.driver import Guard
@@ -122,7 +122,7 @@
         self._ports.budget.count(self._routed.service, self._ports.clock.now())
         left = time_left(self._ports, self._routed)
         try:
-            with trio.move_on_after(seconds(left)):
+            with trio.move_on_after(as_seconds(left)):
                 return await self._try_upstreams()
             return self._time_out()
         finally:
@@ -207,7 +207,7 @@
         known = self._ports.fleet.find(upstream.upstream)
         if known is not None:
             backoff = known.backoff_until - self._ports.clock.now()
-            await trio.sleep(seconds(max(backoff, 0)))
+            await trio.sleep(as_seconds(max(backoff, 0)))
 
     async def _open(self, call: UpstreamCall) -> LinkEnd:
         """Send a request, and read its answer unless none will come."""
--- a/src/cartdale/store/etcd.py
+++ b/src/cartdale/store/etcd.py
@@ -10,7 +10,7 @@
 from returns.result import Failure, Result, Success
 
 from cartdale.client_transport import NOT_SENT
-from cartdale.clock import SECOND_MS, Millis, seconds
+from cartdale.clock import SECOND_MS, Millis, as_seconds
 from cartdale.codec import decode_json, encode_json
 from cartdale.formatting import format_error
 from cartdale.store import wire
@@ -46,7 +46,7 @@
 
     def __init__(self, client: httpx.AsyncClient, timeout: Millis) -> None:
         self._client = client
-        self._timeout = seconds(timeout)
+        self._timeout = as_seconds(timeout)
         self.calls_by_path: Counter[str] = Counter()
 
     async def fetch(
@@ -109,7 +109,7 @@
         self.calls_by_path[wire.PATH_WATCH] += 1
         create = wire.WatchCreate(wire.pack(key), str(after + 1))
         body = encode_json(wire.WatchRequest(create))
-        with trio.move_on_after(seconds(timeout)):
+        with trio.move_on_after(as_seconds(timeout)):
             return await self._watch(body)
         return Success(False)
 
--- a/src/cartdale/streams/driver.py
+++ b/src/cartdale/streams/driver.py
@@ -6,7 +6,7 @@
 import trio
 from returns.result import Failure, Success
 
-from cartdale.clock import Millis, seconds
+from cartdale.clock import Millis, as_seconds
 from cartdale.engines.types import (
     Event,
     GenerationUnknown,
@@ -197,7 +197,7 @@
 
     async def _pump(self) -> None:
         link = self._link
-        scope = trio.move_on_after(seconds(SILENCE_MS))
+        scope = trio.move_on_after(as_seconds(SILENCE_MS))
         with scope:
             await link.wait()
         if scope.cancelled_caught:
@@ -256,7 +256,7 @@
             case Compare():
                 await self._compare()
             case Attach(pause=pause):
-                await trio.sleep(seconds(pause))
+                await trio.sleep(as_seconds(pause))
                 self._open(action)
             case AskStatus():
                 await self._ask_status()
@@ -362,7 +362,7 @@
             await engine.cancel(abandoned.generation)
 
     async def _cancel_later(self, abandoned: StreamState) -> None:
-        await trio.sleep(seconds(_ABANDON_GRACE))
+        await trio.sleep(as_seconds(_ABANDON_GRACE))
         engine = self._ports.find_engine(abandoned.upstream)
         answer = await engine.status(abandoned.generation, _STATUS_TIMEOUT)
         status = answer.value_or(None)
--- a/src/cartdale_standins/driver.py
+++ b/src/cartdale_standins/driver.py
@@ -4,7 +4,7 @@
 
 import trio
 
-from cartdale.clock import SECOND_MS, Clock, Millis, seconds
+from cartdale.clock import SECOND_MS, Clock, Millis, as_seconds
 from cartdale.model.engine import EngineModel
 from cartdale.model.types import Hardware
 
@@ -68,7 +68,7 @@
 
     async def _advance(self) -> None:
         if self.frozen or not self.model.busy:
-            await trio.sleep(seconds(_IDLE_POLL))
+            await trio.sleep(as_seconds(_IDLE_POLL))
             return
         step = self.model.step()
         await trio.sleep(step.duration / SECOND_MS)
@@ -84,7 +84,7 @@
     async def _lag_reports(self) -> None:
         while True:
             report = self.model.report(self._clock.now())
-            await trio.sleep(seconds(_REPORT_LAG))
+            await trio.sleep(as_seconds(_REPORT_LAG))
             self.lagged = report
             self._drop_old()
 
--- a/src/cartdale_standins/engine.py
+++ b/src/cartdale_standins/engine.py
@@ -10,7 +10,7 @@
 from quart import Response, request
 from quart_trio import QuartTrio
 
-from cartdale.clock import Clock, Millis, SystemClock, seconds
+from cartdale.clock import Clock, Millis, SystemClock, as_seconds
 from cartdale.codec import decode_json, encode_json
 from cartdale.engines.http import (
     END_MARK,
@@ -247,7 +247,7 @@
 
 async def _wait(record: Record) -> None:
     changed = record.changed
-    with trio.move_on_after(seconds(_RECHECK)):
+    with trio.move_on_after(as_seconds(_RECHECK)):
         await changed.wait()
 
 
--- a/src/cartdale_standins/platform_store.py
+++ b/src/cartdale_standins/platform_store.py
@@ -14,7 +14,7 @@
 from quart import Response, request
 from quart_trio import QuartTrio
 
-from cartdale.clock import Clock, Millis, SystemClock, seconds
+from cartdale.clock import Clock, Millis, SystemClock, as_seconds
 from cartdale.store.types import Committed, Compare, Delete, Entry, Put, Write
 from cartdale_standins.platform_entries import describe_upstream
 from cartdale_standins.state import KeyValueState, RateMeter
@@ -122,9 +122,9 @@
         prefix = request.args['pathPrefix']
         since = int(request.args['sinceRevision'])
         events: list[dict[str, Any]] = []
-        with trio.move_on_after(seconds(int(request.args['waitMs']))):
+        with trio.move_on_after(as_seconds(int(request.args['waitMs']))):
             while not events and self._has_history(since):
-                await trio.sleep(seconds(_WATCH_POLL))
+                await trio.sleep(as_seconds(_WATCH_POLL))
                 events = self._changes(prefix, since)
         if not self._has_history(since):
             return _answer({}, HTTPStatus.GONE)
@@ -196,7 +196,7 @@
 
     async def _admit(self, meter: RateMeter) -> Response | None:
         """Return a refusal, or nothing when the call is admitted."""
-        await trio.sleep(seconds(self.faults.delay))
+        await trio.sleep(as_seconds(self.faults.delay))
         if self.faults.silent:
             await trio.sleep_forever()
         if self.faults.busy:
@@ -226,7 +226,7 @@
                     content=msgspec.json.encode(body),
                 )
             except httpx.TransportError:
-                await trio.sleep(seconds(_ENLIST_EVERY))
+                await trio.sleep(as_seconds(_ENLIST_EVERY))
                 continue
             return
 
--- a/src/cartdale_standins/state.py
+++ b/src/cartdale_standins/state.py
@@ -3,7 +3,7 @@
 from collections import Counter
 from dataclasses import dataclass, replace
 
-from cartdale.clock import Clock, Millis, seconds
+from cartdale.clock import Clock, Millis, as_seconds
 from cartdale.store.types import (
     Committed,
     Compare,
@@ -169,7 +169,7 @@
     def admit(self, name: str) -> bool:
         """Count a call and tell whether the rate admits it."""
         current = self._clock.now()
-        gained = seconds(current - self._filled_at) * self._rate
+        gained = as_seconds(current - self._filled_at) * self._rate
         self._tokens = min(self._rate, self._tokens + gained)
         self._filled_at = current
         self.counts[name] += 1
--- a/src/cartdale_standins/store.py
+++ b/src/cartdale_standins/store.py
@@ -9,7 +9,7 @@
 from quart import Response, request
 from quart_trio import QuartTrio
 
-from cartdale.clock import SECOND_MS, Clock, Millis, SystemClock, seconds
+from cartdale.clock import SECOND_MS, Clock, Millis, SystemClock, as_seconds
 from cartdale.codec import decode_json, encode_json
 from cartdale.store import wire
 from cartdale.store.types import Committed, Compare, Delete, Put, Write
@@ -139,7 +139,7 @@
                 kv = wire.KeyValue(wire.pack(key), mod_revision=str(revision))
                 yield _line(wire.WatchResult(events=(wire.WatchEvent(kv),)))
                 start = revision + 1
-            await trio.sleep(seconds(_WATCH_POLL))
+            await trio.sleep(as_seconds(_WATCH_POLL))
 
     async def _set_faults(self) -> Response:
         self.faults = await _body(StoreFaults)
@@ -163,7 +163,7 @@
     async def serve(self) -> Response:
         """Answer, refuse, delay or lose the answer."""
         faults = self._standin.faults
-        await trio.sleep(seconds(faults.delay_ms))
+        await trio.sleep(as_seconds(faults.delay_ms))
         if not self._meter.admit(request.path):
             return Response(status=HTTPStatus.TOO_MANY_REQUESTS)
         if faults.down:
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -6,7 +6,7 @@
 import trio
 from returns.result import Failure, Result, Success
 
-from cartdale.clock import Millis, SystemClock, seconds
+from cartdale.clock import Millis, SystemClock, as_seconds
 from cartdale.store.types import (
     Compare,
     LeaseLost,
@@ -103,14 +103,14 @@
     async def wait_change(
         self, key: str, after: int, timeout: Millis
     ) -> Result[bool, StoreFailure]:
-        with trio.move_on_after(seconds(timeout)):
+        with trio.move_on_after(as_seconds(timeout)):
             while self.down or self.state.mod_revision(key) <= after:
                 await trio.sleep(0.02)
             return Success(True)
         return Success(False)
 
     async def _delay(self) -> None:
-        await trio.sleep(seconds(self.generator.randrange(self.slowest)))
+        await trio.sleep(as_seconds(self.generator.randrange(self.slowest)))
 
     def _loses(self) -> bool:
         return self.generator.random() < self.lose
--- a/tests/load/fleet.py
+++ b/tests/load/fleet.py
@@ -13,7 +13,7 @@
 import trio
 from returns.result import Failure, Result, Success
 
-from cartdale.clock import Millis, SystemClock, seconds
+from cartdale.clock import Millis, SystemClock, as_seconds
 from cartdale.codec import encode_json
 from cartdale.daemon.peer_links import PEER_TIMEOUT, MessageHandler
 from cartdale.daemon.peers import Peers
@@ -65,9 +65,9 @@
     ) -> Result[Changes, StoreFailure]:
         if await self._refuse('watch'):
             return Failure(StoreUnavailable('busy'))
-        with trio.move_on_after(seconds(timeout)):
+        with trio.move_on_after(as_seconds(timeout)):
             while not self._list_changes(after):
-                await trio.sleep(seconds(STORE_TAKES))
+                await trio.sleep(as_seconds(STORE_TAKES))
         changes = self._list_changes(after)
         return Success(Changes(changes, self.state.revision))
 
@@ -96,7 +96,7 @@
 
     async def _refuse(self, kind: str) -> bool:
         self.calls[kind] += 1
-        await trio.sleep(seconds(STORE_TAKES))
+        await trio.sleep(as_seconds(STORE_TAKES))
         return self.refuses
 
     def _list_changes(self, after: int):
@@ -165,7 +165,7 @@
         await stopping.wait()
 
     async def fetch_document(self, peer: PeerEntry):
-        await trio.sleep(seconds(2 * WAY_TAKES))
+        await trio.sleep(as_seconds(2 * WAY_TAKES))
         self.network.messages['documents'] += 1
         serve = self.network.servers.get(peer.name)
         if serve is None:
@@ -174,9 +174,9 @@
         assert isinstance(answer, Document)
         waits, takes = self.network.send_over_link(peer.name, len(answer.raw))
         if waits > PEER_TIMEOUT:
-            await trio.sleep(seconds(PEER_TIMEOUT))
+            await trio.sleep(as_seconds(PEER_TIMEOUT))
             return Failure(PeerUncertain('nothing came'))
-        await trio.sleep(seconds(waits + takes))
+        await trio.sleep(as_seconds(waits + takes))
         return Success(answer)
 
 
--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -9,7 +9,7 @@
 import trio
 from returns.result import Failure, Success
 
-from cartdale.clock import SECOND_MS, SystemClock, seconds
+from cartdale.clock import SECOND_MS, SystemClock, as_seconds
 from cartdale.fleet.decide import LAPSED_KEPT_MS, decide
 from cartdale.fleet.evacuation import Evacuation
 from cartdale.fleet.types import (
@@ -217,7 +217,7 @@
             lambda: fleet.find('late').lifecycle is Lifecycle.LAPSED,
         )
         stage.list_upstream('late', 'portal', address, born=5)
-        with trio.fail_after(seconds(LAPSED_KEPT_MS)):
+        with trio.fail_after(as_seconds(LAPSED_KEPT_MS)):
             await until(
                 lambda: fleet.find('late').lifecycle is Lifecycle.LIVE,
             )
