--- a/bench/news.py
+++ b/bench/news.py
@@ -46,7 +46,7 @@
     exchange.authenticator = authenticator
     began = time.process_time()
     signed = [
-        make_message(authenticator, number, clock.wall())
+        make_message(authenticator, number, clock.wall_time())
         for number in range(_ROUNDS)
     ]
     made = time.process_time()
--- a/src/cartdale/briefing/app.py
+++ b/src/cartdale/briefing/app.py
@@ -68,7 +68,7 @@
         if key is None or len(key) < KEY_BYTES:
             await send_response(send, HTTPStatus.BAD_REQUEST)
             return
-        wall = self._clock.wall()
+        wall = self._clock.wall_time()
         # Whoever has the key is meant: the asker has no name here yet.
         briefing = self._describe(_list_accepted(scope))
         envelope = wrap(self._name, '', briefing, wall)
--- a/src/cartdale/briefing/driver.py
+++ b/src/cartdale/briefing/driver.py
@@ -79,7 +79,7 @@
                 'no briefing', address=address, error=type(error).__name__
             )
             return
-        briefing = open_briefing(response.content, key, self._clock.wall())
+        briefing = open_briefing(response.content, key, self._clock.wall_time())
         if briefing is None:
             logger.warning(
                 'briefing unreadable', address=address, status=response.status
--- a/src/cartdale/callers/respond.py
+++ b/src/cartdale/callers/respond.py
@@ -132,7 +132,7 @@
     whole = WholeCompletion(
         id=delivery.state.generation,
         object=kind.removesuffix('.chunk'),
-        created=clock.wall() // SECOND_MS,
+        created=clock.wall_time() // SECOND_MS,
         model=model,
         choices=(_choose_shape(kind, ''.join(texts)),),
         usage=Usage(prompt_tokens, len(texts), prompt_tokens + len(texts)),
--- a/src/cartdale/clock.py
+++ b/src/cartdale/clock.py
@@ -21,7 +21,7 @@
     def now(self) -> Millis:
         """Return monotonic milliseconds since an arbitrary origin."""
 
-    def wall(self) -> Millis:
+    def wall_time(self) -> Millis:
         """Return milliseconds since the Unix epoch."""
 
 
@@ -59,7 +59,7 @@
         """Return monotonic milliseconds of the running loop."""
         return int(trio.current_time() * SECOND_MS)
 
-    def wall(self) -> Millis:
+    def wall_time(self) -> Millis:
         """Return milliseconds since the Unix epoch."""
         return int(time.time() * SECOND_MS)
 
@@ -79,7 +79,7 @@
         """Return the virtual monotonic time."""
         return self._current
 
-    def wall(self) -> Millis:
+    def wall_time(self) -> Millis:
         """Return the virtual wall time."""
         return self._epoch + self._current
 
--- a/src/cartdale/configuration/driver.py
+++ b/src/cartdale/configuration/driver.py
@@ -154,7 +154,7 @@
         return self.state.revision >= revision
 
     def _note(self, adopt: Adopt) -> None:
-        self.in_force_at = self._clock.wall()
+        self.in_force_at = self._clock.wall_time()
         self.took = 0
         if adopt.confirmed_at:
             self.took = max(0, self.in_force_at - adopt.confirmed_at)
--- a/src/cartdale/daemon/group.py
+++ b/src/cartdale/daemon/group.py
@@ -75,7 +75,7 @@
                 on_news=links.hear,
                 quarantine=self.quarantine,
             ),
-            _introduce(settings, address, clock.wall()),
+            _introduce(settings, address, clock.wall_time()),
         )
         self.limiter = Limiter(self.membership, self.peers, clock)
         self.owner = SlotOwner(
--- a/src/cartdale/ledger/owner.py
+++ b/src/cartdale/ledger/owner.py
@@ -121,7 +121,7 @@
         if state is None or (isinstance(message, Claim) and not trusted):
             return ClaimAnswer(Verdict.NOT_OWNER)
         clock = self._ports.clock
-        after, answer = decide(state, message, clock.now(), clock.wall())
+        after, answer = decide(state, message, clock.now(), clock.wall_time())
         self._slots_by_number[number] = after
         return answer or ClaimAnswer(Verdict.NOT_OWNER)
 
@@ -250,7 +250,7 @@
         state = SlotState(
             slot=number,
             epoch=epoch,
-            horizon_wall_ms=first_horizon(self._ports.clock.wall()),
+            horizon_wall_ms=first_horizon(self._ports.clock.wall_time()),
             valid_until=self._valid_until,
         )
         if left is not None:
--- a/src/cartdale/news/driver.py
+++ b/src/cartdale/news/driver.py
@@ -234,7 +234,7 @@
     def _take(self, raw: bytes) -> None:
         if self.authenticator is None:
             return
-        envelope = self.authenticator.verify(raw, self._clock.wall())
+        envelope = self.authenticator.verify(raw, self._clock.wall_time())
         if envelope is None:
             return
         try:
--- a/src/cartdale/news/writing.py
+++ b/src/cartdale/news/writing.py
@@ -58,7 +58,7 @@
         self._clock = clock
         self._is_watcher = is_watcher
         self._store_lost = store_lost
-        self._boot = clock.wall()
+        self._boot = clock.wall_time()
         self._number = 0
         self._told: _Content | None = None
 
@@ -169,7 +169,7 @@
             sender=self._own.name,
             recipient=recipient,
             kind=kind,
-            wall_ms=self._clock.wall(),
+            wall_ms=self._clock.wall_time(),
             body=msgspec.Raw(body),
         )
         return authenticator.sign(envelope)
--- a/src/cartdale/peers/app.py
+++ b/src/cartdale/peers/app.py
@@ -68,7 +68,9 @@
         await self._take(signed, send)
 
     async def _take(self, signed: bytes, send: Send) -> None:
-        envelope = self._client.authenticator.verify(signed, self._clock.wall())
+        envelope = self._client.authenticator.verify(
+            signed, self._clock.wall_time()
+        )
         if envelope is None or envelope.recipient != self._name:
             self.refused += 1
             await send_response(send, HTTPStatus.FORBIDDEN)
--- a/src/cartdale/peers/client.py
+++ b/src/cartdale/peers/client.py
@@ -79,7 +79,7 @@
             the peer's clock.
         """
         signed = self.sign_message(peer, message)
-        sent_at = self._clock.wall()
+        sent_at = self._clock.wall_time()
         self.sent_bytes += len(signed)
         try:
             response = await self._client.request(
@@ -105,7 +105,7 @@
 
     def sign_message(self, recipient: str, message: object) -> bytes:
         """Seal a message to a peer."""
-        wall = self._clock.wall()
+        wall = self._clock.wall_time()
         return self.authenticator.sign(
             wrap(self._name, recipient, message, wall)
         )
@@ -120,14 +120,14 @@
         return int(abs(median(self.offsets_by_peer.values())))
 
     def _note_offset(self, peer: str, theirs: Millis, sent_at: Millis) -> None:
-        middle = (sent_at + self._clock.wall()) // 2
+        middle = (sent_at + self._clock.wall_time()) // 2
         self.offsets_by_peer[peer] = theirs - middle
 
     def _verify(
         self, signed: bytes, peer: str, shape: type[Reply]
     ) -> Envelope | None:
         """Return the envelope of a genuine answer of the right kind."""
-        envelope = self.authenticator.verify(signed, self._clock.wall())
+        envelope = self.authenticator.verify(signed, self._clock.wall_time())
         if envelope is None or envelope.recipient != self._name:
             return None
         if envelope.sender != peer or envelope.kind != shape.__name__:
--- a/src/cartdale/plans/confirm.py
+++ b/src/cartdale/plans/confirm.py
@@ -109,7 +109,7 @@
             digest=digest_bodies(revision, bodies_by_key),
             plan_id=asked.plan.plan_id,
             author=asked.author,
-            wall_ms=self._clock.wall(),
+            wall_ms=self._clock.wall_time(),
             changes=changes,
         )
         size = measure(delta)
--- a/src/cartdale/quarantine/persistence.py
+++ b/src/cartdale/quarantine/persistence.py
@@ -84,7 +84,7 @@
         except msgspec.MsgspecError as error:
             logger.error('quarantine unreadable', key=key, detail=str(error))
             return
-        passed = max(self._clock.wall() - record.written_at, 0)
+        passed = max(self._clock.wall_time() - record.written_at, 0)
         crashes = tuple(_grow_older(each, passed) for each in record.crashes)
         self._quarantine.dispatch(CrashesTold(crashes))
         for identity in sorted({each.identity for each in crashes}):
@@ -108,7 +108,7 @@
         if not isinstance(granted, Success):
             return False
         record = StoredRecord(
-            self._clock.wall(), self._quarantine.describe(identity)
+            self._clock.wall_time(), self._quarantine.describe(identity)
         )
         written = await self._store.transact(
             (), (Put(key, encode_binary(record), granted.unwrap()),)
--- a/src/cartdale/reports/book.py
+++ b/src/cartdale/reports/book.py
@@ -56,7 +56,7 @@
         self._instance = instance
         self._clock = clock
         self._objectives_of = objectives_of
-        self._since_minute = clock.wall() // MINUTE_MS
+        self._since_minute = clock.wall_time() // MINUTE_MS
         self._minutes_by_account: dict[_Account, dict[int, Counts]] = {}
         self._histograms_by_name: dict[str, HdrHistogram] = {}
 
@@ -77,7 +77,7 @@
             )
         objectives = self._objectives_of(measured.service)
         counts = judge(measured, objectives)
-        minute = self._clock.wall() // MINUTE_MS
+        minute = self._clock.wall_time() // MINUTE_MS
         for customer in (measured.customer, ''):
             self._count(_Account(measured.service, customer), minute, counts)
 
--- a/src/cartdale/reports/recorder.py
+++ b/src/cartdale/reports/recorder.py
@@ -58,5 +58,5 @@
                     parts.append(part)
                 case _:
                     silent.append(news.name)
-        at_minute = self._clock.wall() // MINUTE_MS
+        at_minute = self._clock.wall_time() // MINUTE_MS
         return merge_parts(parts, tuple(silent), at_minute)
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -31,7 +31,7 @@
     def now(self) -> Millis:
         return SystemClock().now()
 
-    def wall(self) -> Millis:
+    def wall_time(self) -> Millis:
         return 1_800_000_000_000 + self.now() + self.skew
 
 
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -247,7 +247,7 @@
 
     def choose_key(self) -> tuple[str, Millis]:
         if len(self.keys) < KEYS or self.random.random() < 0.02:
-            wall = SkewedClock().wall() + self.random.randrange(-3000, 900)
+            wall = SkewedClock().wall_time() + self.random.randrange(-3000, 900)
             self.keys.append((f'key-{len(self.keys)}-{wall}', wall))
         return self.random.choice(self.keys[-KEYS:])
 
--- a/tests/test_briefing.py
+++ b/tests/test_briefing.py
@@ -83,7 +83,7 @@
         url = f'http://{LOCAL}:{port}{PATH}'
         key = b'k' * KEY_BYTES
         answer = await stage.client.post(url, content=key)
-        now = SystemClock().wall()
+        now = SystemClock().wall_time()
         briefing = open_briefing(answer.content, key, now)
         assert briefing is not None
         assert briefing.document
@@ -108,7 +108,7 @@
         await stage.settle(version=2)
         url = f'http://{LOCAL}:{stage.runtimes[0].control_port}{PATH}'
         key = b'k' * KEY_BYTES
-        now = SystemClock().wall()
+        now = SystemClock().wall_time()
         sizes: list[int] = []
         for accepts in ('zlib', ''):
             answer = await stage.client.post(
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -38,7 +38,7 @@
 
 
 def make_wall() -> int:
-    return SkewedClock().wall()
+    return SkewedClock().wall_time()
 
 
 async def wait_horizon() -> None:
--- a/tests/test_heard_departures.py
+++ b/tests/test_heard_departures.py
@@ -170,7 +170,9 @@
     writer.write(authenticator)
     AdvisoryRecorder(teller, clock).record('a', Advisory(leaving=True), 'r', 0)
     assert writer.has_new()
-    envelope = authenticator.verify(writer.write(authenticator), clock.wall())
+    envelope = authenticator.verify(
+        writer.write(authenticator), clock.wall_time()
+    )
     news = decode_binary(bytes(envelope.body), LoadNews)
     _, actions = decide_news(NewsState(), NewsArrived('p', news), 0, 0)
     assert ApplyLeaving('a', 1, announced=True) in actions
--- a/tests/test_limit_news.py
+++ b/tests/test_limit_news.py
@@ -67,7 +67,7 @@
         advisories.record('a', Advisory(limit=limit), 'r', asked_at)
         assert writer.has_new()
         envelope = authenticator.verify(
-            writer.write(authenticator), clock.wall()
+            writer.write(authenticator), clock.wall_time()
         )
         news = decode_binary(bytes(envelope.body), LoadNews)
         assert news.limits == {'a': LimitNews(limit, 40, 0, 1)}
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -327,7 +327,7 @@
         await ask_again_and_again(stage, '/draft/a')
         await until(lambda: list_lasting(stage))
         quarantine = Quarantine(VirtualClock(), print)
-        clock = VirtualClock(epoch=SystemClock().wall() + KEPT)
+        clock = VirtualClock(epoch=SystemClock().wall_time() + KEPT)
         lasting = PersistentQuarantine(None, quarantine, clock)
         entry = stage.store.state.find(list_lasting(stage)[0])
         lasting.restore(entry.key, entry.value)
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -150,7 +150,7 @@
     owner._slots_by_number = {
         number: SlotState(number, 1, 0, 10**15) for number in range(64)
     }
-    claim = Claim('k', 'a', 'b', SystemClock().wall(), once=True)
+    claim = Claim('k', 'a', 'b', SystemClock().wall_time(), once=True)
     assert owner.handle_message(claim, 'k').verdict is Verdict.GRANTED
     error = CLOCK_ERROR_MS + 1
     assert owner.handle_message(claim, 'k').verdict is Verdict.NOT_OWNER
