--- a/src/cartdale/callers/generations.py
+++ b/src/cartdale/callers/generations.py
@@ -24,7 +24,7 @@
     stream_answer,
 )
 from cartdale.declarations.types import Repeat
-from cartdale.invariants import RIGHT_CALLER, check
+from cartdale.invariants import RIGHT_CALLER, check_invariant
 from cartdale.ledger.types import KeptAnswer, RecordPhase
 from cartdale.problems.types import (
     NotRun,
@@ -78,7 +78,7 @@
         self, call: GenerationCall, position: Position
     ) -> Response:
         """Continue an answer behind a position."""
-        check(
+        check_invariant(
             RIGHT_CALLER,
             holds=position.origin.customer == call.caller.name,
             detail=f'{position.origin.generation} for {call.caller.name}',
--- a/src/cartdale/callers/plain.py
+++ b/src/cartdale/callers/plain.py
@@ -21,7 +21,7 @@
 from cartdale.declarations.types import Repeat, Service, Upstream
 from cartdale.engines.plain import PlainAnswer, PlainRequest, PlainService
 from cartdale.engines.types import EngineRefused, LinkLost
-from cartdale.invariants import AT_MOST_ONCE, check
+from cartdale.invariants import AT_MOST_ONCE, check_invariant
 from cartdale.ledger.types import ANSWER_LIMIT, KeptAnswer, RecordPhase
 from cartdale.problems.types import (
     NotRun,
@@ -141,7 +141,7 @@
         for index, name in enumerate(self._order(call.service)):
             if not self._may_attempt(call, name, watch, first=not index):
                 break
-            check(
+            check_invariant(
                 AT_MOST_ONCE,
                 holds=may_repeat or not ever_sent,
                 detail=f'{call.service_name} would run again on {name}',
--- a/src/cartdale/configuration/decide.py
+++ b/src/cartdale/configuration/decide.py
@@ -20,7 +20,7 @@
     SnapshotReceived,
     digest_bodies,
 )
-from cartdale.invariants import NEVER_REVERTS, check
+from cartdale.invariants import NEVER_REVERTS, check_invariant
 
 
 def decide(
@@ -40,7 +40,7 @@
             after, actions = _take_snapshot(state, snapshot)
         case _:
             assert_never(message)
-    check(
+    check_invariant(
         NEVER_REVERTS,
         holds=after.revision >= state.revision,
         detail=f'{state.revision} to {after.revision} at {now}',
--- a/src/cartdale/invariants.py
+++ b/src/cartdale/invariants.py
@@ -28,7 +28,7 @@
 _violations_by_name: Counter[str] = Counter()
 
 
-def check(name: str, *, holds: bool, detail: str) -> None:
+def check_invariant(name: str, *, holds: bool, detail: str) -> None:
     """Raise and count when an invariant does not hold.
 
     :param name: one of the constants of this module.
--- a/src/cartdale/ledger/decide.py
+++ b/src/cartdale/ledger/decide.py
@@ -4,7 +4,7 @@
 from typing import assert_never
 
 from cartdale.clock import Millis
-from cartdale.invariants import AT_MOST_ONCE, check
+from cartdale.invariants import AT_MOST_ONCE, check_invariant
 from cartdale.ledger.types import (
     CLOCK_ERROR_MS,
     KEY_AHEAD_MS,
@@ -91,7 +91,7 @@
 
 
 def _grant(state: SlotState, claim: Claim, wall: Millis) -> Decision:
-    check(
+    check_invariant(
         AT_MOST_ONCE,
         holds=claim.key not in state.records_by_key,
         detail=f'{claim.key} granted twice in slot {state.slot}',
--- a/src/cartdale/relay/decide.py
+++ b/src/cartdale/relay/decide.py
@@ -4,7 +4,7 @@
 from typing import assert_never
 
 from cartdale.clock import SECOND_MS, Millis
-from cartdale.invariants import AT_MOST_ONCE, NOT_RUN, check
+from cartdale.invariants import AT_MOST_ONCE, NOT_RUN, check_invariant
 from cartdale.problems.types import (
     NotRun,
     NotRunReason,
@@ -164,12 +164,14 @@
 def check_refusal(state: AttemptState, problem: Problem) -> None:
     """Check that nothing ran which the caller is told did not run."""
     if isinstance(problem, NotRun):
-        check(NOT_RUN, holds=not state.runs, detail=f'{state.runs} runs')
+        check_invariant(
+            NOT_RUN, holds=not state.runs, detail=f'{state.runs} runs'
+        )
 
 
 def _count_run(state: AttemptState) -> AttemptState:
     after = replace(state, sends=state.sends + 1, runs=state.runs + 1)
-    check(
+    check_invariant(
         AT_MOST_ONCE,
         holds=after.runs <= after.may_run,
         detail=f'{after.runs} runs of {after.may_run}',
--- a/src/cartdale/relay/passing.py
+++ b/src/cartdale/relay/passing.py
@@ -7,7 +7,7 @@
 
 from cartdale.clock import SECOND_MS, Millis, as_seconds
 from cartdale.fleet.types import UpstreamEntry
-from cartdale.invariants import ONCE_IN_ORDER, check
+from cartdale.invariants import ONCE_IN_ORDER, check_invariant
 from cartdale.relay.frames import EventFrames, follows, read_id
 from cartdale.relay.generation import RunningGeneration
 from cartdale.relay.links import CarriedLink
@@ -185,7 +185,7 @@
 
     async def _pass(self, event: bytes) -> None:
         name = read_id(event)
-        check(
+        check_invariant(
             ONCE_IN_ORDER,
             holds=not name or follows(name, self.last_event),
             detail=f'event {name!r} after {self.last_event!r}',
--- a/src/cartdale/routing/decide.py
+++ b/src/cartdale/routing/decide.py
@@ -5,7 +5,7 @@
 
 from cartdale.clock import Millis
 from cartdale.declarations.types import PolicyName
-from cartdale.invariants import NO_WORK_WHEN_LEAVING, check
+from cartdale.invariants import NO_WORK_WHEN_LEAVING, check_invariant
 from cartdale.problems.types import NotRun, NotRunReason
 from cartdale.routing.policy import (
     choose_baseline,
@@ -167,7 +167,7 @@
 def _place(
     state: RoutingState, work: Work, upstream: str, now: Millis
 ) -> RoutingState:
-    check(
+    check_invariant(
         NO_WORK_WHEN_LEAVING,
         holds=not state.leaving,
         detail=f'{work.work_id} on {upstream}',
--- a/src/cartdale/routing/policy.py
+++ b/src/cartdale/routing/policy.py
@@ -7,7 +7,7 @@
 
 from cartdale.clock import Millis
 from cartdale.declarations.types import PolicyName, Weights
-from cartdale.invariants import MEMORY_BOUND, check
+from cartdale.invariants import MEMORY_BOUND, check_invariant
 from cartdale.routing.forecast import (
     Forecast,
     forecast_engine,
@@ -134,7 +134,7 @@
         best = min(best or choice, choice)
     if best is None:
         return None
-    check(
+    check_invariant(
         MEMORY_BOUND,
         holds=best.filled <= 1,
         detail=f'{work.work_id} fills {best.upstream} to {best.filled:.2f}',
--- a/src/cartdale/streams/decide.py
+++ b/src/cartdale/streams/decide.py
@@ -11,7 +11,7 @@
     NOT_RUN,
     ONCE_IN_ORDER,
     ONE_GENERATION,
-    check,
+    check_invariant,
 )
 from cartdale.problems.types import (
     EndedEarly,
@@ -114,7 +114,7 @@
 
     :param generation: id of the new run; the earlier one is abandoned.
     """
-    check(
+    check_invariant(
         AT_MOST_ONCE,
         holds=state.may_repeat or not state.sent,
         detail=f'{state.generation} would run again on {upstream}',
@@ -152,7 +152,7 @@
 def _take_chunk(
     state: StreamState, chunk: ChunkArrived, now: Millis
 ) -> Decision:
-    check(
+    check_invariant(
         ONE_GENERATION,
         holds=chunk.generation == state.generation,
         detail=f'{chunk.generation} arrived for {state.generation}',
@@ -173,7 +173,7 @@
     )
     if not fresh:
         return after, (Compare(),)
-    check(
+    check_invariant(
         ONCE_IN_ORDER,
         holds=chunk.offset == state.delivered + 1,
         detail=f'token {chunk.offset} after {state.delivered}',
@@ -242,7 +242,7 @@
 
 def _end(state: StreamState, last: Finish | Fail) -> Decision:
     if isinstance(last, Fail) and isinstance(last.problem, NotRun):
-        check(
+        check_invariant(
             NOT_RUN,
             holds=not state.sent,
             detail=f'{state.generation} was sent before',
--- a/tests/fault_soak/mutants.py
+++ b/tests/fault_soak/mutants.py
@@ -165,7 +165,7 @@
         return events if next(feeds) % _TWICE_EVERY else events * 2
 
     passing.EventFrames.feed = feed
-    passing.check = look_away
+    passing.check_invariant = look_away
 
 
 def end_as_whole() -> None:
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -23,7 +23,7 @@
     digest_bodies,
 )
 from cartdale.exceptions import InvariantError
-from cartdale.invariants import NEVER_REVERTS, check
+from cartdale.invariants import NEVER_REVERTS, check_invariant
 
 
 def make_history(length: int) -> list[Delta]:
@@ -128,4 +128,4 @@
 
 def test_the_invariant_can_fail() -> None:
     with pytest.raises(InvariantError, match=NEVER_REVERTS):
-        check(NEVER_REVERTS, holds=False, detail='3 to 2')
+        check_invariant(NEVER_REVERTS, holds=False, detail='3 to 2')
