--- a/src/cartdale/briefing/driver.py
+++ b/src/cartdale/briefing/driver.py
@@ -16,7 +16,10 @@
 from cartdale.briefing.types import Briefing
 from cartdale.clock import Clock, Millis, as_seconds
 from cartdale.peers.documents import ENCODINGS
-from cartdale.transport import CORE_BROKEN, CORE_NOT_SENT
+from cartdale.transport import (
+    HTTPCORE_NOT_SENT_ERRORS,
+    HTTPCORE_UNKNOWN_OUTCOME_ERRORS,
+)
 
 #: The store answers a healthy start within a few milliseconds; one that takes
 #: this long is asked beside the others.
@@ -26,7 +29,11 @@
 _PATIENCE: Millis = 500
 
 _ACCEPTED = ', '.join(ENCODINGS).encode()
-_NO_ANSWER = (*CORE_NOT_SENT, *CORE_BROKEN, trio.TooSlowError)
+_NO_ANSWER = (
+    *HTTPCORE_NOT_SENT_ERRORS,
+    *HTTPCORE_UNKNOWN_OUTCOME_ERRORS,
+    trio.TooSlowError,
+)
 
 Take = Callable[[Briefing], None]
 
--- a/src/cartdale/client_transport.py
+++ b/src/cartdale/client_transport.py
@@ -7,4 +7,8 @@
 import httpx
 
 #: Failures before a request left this process: it certainly had no effect.
-NOT_SENT = (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout)
+HTTPX_NOT_SENT_ERRORS = (
+    httpx.ConnectError,
+    httpx.ConnectTimeout,
+    httpx.PoolTimeout,
+)
--- a/src/cartdale/engines/http.py
+++ b/src/cartdale/engines/http.py
@@ -11,7 +11,7 @@
 from returns.result import Failure, Result, Success
 from sseclient import SSEClient
 
-from cartdale.client_transport import NOT_SENT
+from cartdale.client_transport import HTTPX_NOT_SENT_ERRORS
 from cartdale.clock import Millis, as_seconds
 from cartdale.codec import decode_json, encode_json
 from cartdale.engines.types import (
@@ -147,7 +147,7 @@
     ) -> AsyncIterator[Result[Events, EngineFailure]]:
         try:
             response = await self._client.send(outgoing, stream=True)
-        except NOT_SENT as error:
+        except HTTPX_NOT_SENT_ERRORS as error:
             yield Failure(EngineUnreachable(format_error(error)))
             return
         except httpx.HTTPError as late_error:
@@ -172,7 +172,7 @@
                 content=body,
                 timeout=timeout or self._timeout,
             )
-        except NOT_SENT as error:
+        except HTTPX_NOT_SENT_ERRORS as error:
             return Failure(EngineUnreachable(format_error(error)))
         except httpx.HTTPError as late_error:
             return Failure(LinkLost(format_error(late_error)))
--- a/src/cartdale/engines/plain.py
+++ b/src/cartdale/engines/plain.py
@@ -9,7 +9,7 @@
 import trio
 from returns.result import Failure, Result, Success
 
-from cartdale.client_transport import NOT_SENT
+from cartdale.client_transport import HTTPX_NOT_SENT_ERRORS
 from cartdale.clock import SECOND_MS, Millis, as_seconds
 from cartdale.engines.http import find_backoff
 from cartdale.engines.types import (
@@ -89,7 +89,7 @@
                 headers=_select_headers(asked),
                 timeout=self._timeout,
             )
-        except NOT_SENT as error:
+        except HTTPX_NOT_SENT_ERRORS as error:
             return Failure(EngineUnreachable(format_error(error)))
         except httpx.HTTPError as late_error:
             return Failure(LinkLost(format_error(late_error)))
--- a/src/cartdale/peers/client.py
+++ b/src/cartdale/peers/client.py
@@ -12,7 +12,10 @@
 from cartdale.codec import decode_binary
 from cartdale.formatting import format_error
 from cartdale.peers.authentication import Authenticator, Envelope, wrap
-from cartdale.transport import CORE_BROKEN, CORE_NOT_SENT
+from cartdale.transport import (
+    HTTPCORE_NOT_SENT_ERRORS,
+    HTTPCORE_UNKNOWN_OUTCOME_ERRORS,
+)
 
 PATH = '/peer/v1/messages'
 
@@ -88,9 +91,9 @@
                 content=signed,
                 extensions=_make_extensions(timeout or self._timeout),
             )
-        except CORE_NOT_SENT as error:
+        except HTTPCORE_NOT_SENT_ERRORS as error:
             return Failure(PeerNotReached(format_error(error)))
-        except CORE_BROKEN as late_error:
+        except HTTPCORE_UNKNOWN_OUTCOME_ERRORS as late_error:
             return Failure(PeerUncertain(format_error(late_error)))
         self.received_bytes += len(response.content)
         opened = self._verify(response.content, peer, shape)
--- a/src/cartdale/platform/exchanges.py
+++ b/src/cartdale/platform/exchanges.py
@@ -40,7 +40,7 @@
     UpstreamCall,
 )
 from cartdale.retries.backoffs import parse_retry_after
-from cartdale.transport import CORE_BROKEN
+from cartdale.transport import HTTPCORE_UNKNOWN_OUTCOME_ERRORS
 
 _HIDDEN_HEADERS = CONNECTION_HEADERS | {
     HEADER_LOAD.encode(),
@@ -229,5 +229,5 @@
     try:
         async for chunk in response.aiter_stream():
             yield chunk
-    except CORE_BROKEN as error:
+    except HTTPCORE_UNKNOWN_OUTCOME_ERRORS as error:
         raise LinkBrokeError(format_error(error)) from error
--- a/src/cartdale/platform/store.py
+++ b/src/cartdale/platform/store.py
@@ -51,7 +51,10 @@
     Write,
     WriteUnknown,
 )
-from cartdale.transport import CORE_BROKEN, CORE_NOT_SENT
+from cartdale.transport import (
+    HTTPCORE_NOT_SENT_ERRORS,
+    HTTPCORE_UNKNOWN_OUTCOME_ERRORS,
+)
 
 _PATH_RANGE = '/cartdale/kv-range'
 _PATH_WATCH = '/cartdale/kv-watch'
@@ -213,9 +216,9 @@
                 headers={'content-type': 'application/json'},
                 extensions=limit_time(timeout or self._timeout),
             )
-        except CORE_NOT_SENT as error:
+        except HTTPCORE_NOT_SENT_ERRORS as error:
             return Failure(StoreUnavailable(format_error(error)))
-        except CORE_BROKEN as late_error:
+        except HTTPCORE_UNKNOWN_OUTCOME_ERRORS as late_error:
             return Failure(WriteUnknown(format_error(late_error)))
         self._note_era(response)
         if response.status in _REFUSED:
--- a/src/cartdale/platform/upstreams.py
+++ b/src/cartdale/platform/upstreams.py
@@ -47,7 +47,10 @@
     UpstreamCall,
 )
 from cartdale.routes.types import ServiceSpec
-from cartdale.transport import CORE_BROKEN, CORE_NOT_SENT
+from cartdale.transport import (
+    HTTPCORE_NOT_SENT_ERRORS,
+    HTTPCORE_UNKNOWN_OUTCOME_ERRORS,
+)
 
 #: Tells that a connection is up and the request is sent next.
 _BEFORE_SENDING = 'http11.send_request_headers.started'
@@ -111,10 +114,10 @@
         except _WithheldError:
             yield Failure(SendWithheld())
             return
-        except CORE_NOT_SENT as error:
+        except HTTPCORE_NOT_SENT_ERRORS as error:
             yield Failure(NotSent(format_error(error)))
             return
-        except CORE_BROKEN as late_error:
+        except HTTPCORE_UNKNOWN_OUTCOME_ERRORS as late_error:
             yield Failure(LinkBroke(format_error(late_error)))
             return
         advisory = read_advisory(response)
@@ -217,9 +220,9 @@
                 content=body,
                 extensions=limit_time(timeout),
             )
-        except CORE_NOT_SENT as error:
+        except HTTPCORE_NOT_SENT_ERRORS as error:
             return Failure(NotSent(format_error(error)))
-        except CORE_BROKEN as late_error:
+        except HTTPCORE_UNKNOWN_OUTCOME_ERRORS as late_error:
             timed_out = isinstance(late_error, httpcore.TimeoutException)
             return Failure(LinkBroke(format_error(late_error), timed_out))
         return Success(response)
--- a/src/cartdale/store/etcd.py
+++ b/src/cartdale/store/etcd.py
@@ -9,7 +9,7 @@
 import trio
 from returns.result import Failure, Result, Success
 
-from cartdale.client_transport import NOT_SENT
+from cartdale.client_transport import HTTPX_NOT_SENT_ERRORS
 from cartdale.clock import SECOND_MS, Millis, as_seconds
 from cartdale.codec import decode_json, encode_json
 from cartdale.formatting import format_error
@@ -145,7 +145,7 @@
             response = await self._client.post(
                 path, content=encode_json(request), timeout=self._timeout
             )
-        except NOT_SENT as error:
+        except HTTPX_NOT_SENT_ERRORS as error:
             return Failure(StoreUnavailable(format_error(error)))
         except httpx.HTTPError as late_error:
             return Failure(WriteUnknown(format_error(late_error)))
--- a/src/cartdale/transport.py
+++ b/src/cartdale/transport.py
@@ -3,13 +3,13 @@
 import httpcore
 
 #: Failures before a request left this process: it certainly had no effect.
-CORE_NOT_SENT = (
+HTTPCORE_NOT_SENT_ERRORS = (
     httpcore.ConnectError,
     httpcore.ConnectTimeout,
     httpcore.PoolTimeout,
 )
 #: What is raised once a request may have had an effect.
-CORE_BROKEN = (
+HTTPCORE_UNKNOWN_OUTCOME_ERRORS = (
     httpcore.TimeoutException,
     httpcore.NetworkError,
     httpcore.ProtocolError,
