--- a/src/cartdale/daemon/links.py
+++ b/src/cartdale/daemon/links.py
@@ -86,7 +86,7 @@
             return Unserved()
         match message:
             case FetchReport():
-                return self._recorder.book.export()
+                return self._recorder.measurements.export()
             case FetchDeltas(after=after):
                 return self._hand_on(after)
         return await self._slices.serve(message)
--- a/src/cartdale/reports/book.py
+++ b/src/cartdale/reports/measurements.py
@@ -44,7 +44,7 @@
     return HdrHistogram(1, _LONGEST_MS, _DIGITS)
 
 
-class MeasureBook:
+class MeasurementStore:
     """Record answers as they end.
 
     :param objectives_of: finds the objectives of a service.
@@ -60,13 +60,13 @@
         self._minutes_by_account: dict[_Account, dict[int, Counts]] = {}
         self._histograms_by_name: dict[str, HdrHistogram] = {}
 
-    def note_gap(self, service: str, gap: Millis) -> None:
+    def record_gap(self, service: str, gap: Millis) -> None:
         """Record one gap between tokens."""
         self._find(service, GAP).record_value(max(1, gap))
 
     def record(self, measured: AnswerMeasured) -> None:
         """Record one answer that ended."""
-        if measured.outcome is Outcome.LEFT:
+        if measured.outcome is Outcome.CALLER_LEFT:
             return
         if measured.tokens:
             self._find(measured.service, STALL).record_value(
@@ -122,7 +122,7 @@
     slow_limit = _SLOW_SHARE * measured.tokens
     return Counts(
         total=1,
-        unfinished=int(measured.outcome is not Outcome.WHOLE),
+        unfinished=int(measured.outcome is not Outcome.COMPLETE),
         stalled=int(measured.stall_ms > objectives.stall_ms),
         preempted=int(measured.preemptions > 0),
         slow=int(measured.slow_gaps > slow_limit),
--- a/src/cartdale/reports/recorder.py
+++ b/src/cartdale/reports/recorder.py
@@ -7,7 +7,11 @@
 from cartdale.membership.driver import Membership
 from cartdale.peers.client import PeerClient
 from cartdale.peers.messages import FetchReport
-from cartdale.reports.book import MeasureBook, ObjectivesOf, merge_parts
+from cartdale.reports.measurements import (
+    MeasurementStore,
+    ObjectivesOf,
+    merge_parts,
+)
 from cartdale.reports.meter import StreamMeter
 from cartdale.reports.metrics import Metrics
 from cartdale.reports.types import AnswerMeasured, Report, ReportPart
@@ -25,7 +29,7 @@
         self._instance = instance
         self._clock = clock
         self._objectives_of = objectives_of
-        self.book = MeasureBook(instance, clock, objectives_of)
+        self.measurements = MeasurementStore(instance, clock, objectives_of)
         self.metrics = Metrics()
 
     def make_meter(self, service: str, customer: str) -> StreamMeter:
@@ -40,12 +44,12 @@
 
     def record(self, measured: AnswerMeasured) -> None:
         """Record one answer that ended."""
-        self.book.record(measured)
+        self.measurements.record(measured)
         self.metrics.record(measured)
 
     async def gather(self, membership: Membership, peers: PeerClient) -> Report:
         """Merge the measures of all instances that answer."""
-        parts = [self.book.export()]
+        parts = [self.measurements.export()]
         silent: list[str] = []
         for news in membership.alive():
             if news.name == self._instance:
--- a/src/cartdale/reports/types.py
+++ b/src/cartdale/reports/types.py
@@ -12,11 +12,11 @@
 class Outcome(StrEnum):
     """Say how an answer ended for its caller."""
 
-    WHOLE = 'whole'
+    COMPLETE = 'whole'
     REFUSED = 'refused'
-    EARLY = 'ended_early'
+    ENDED_EARLY = 'ended_early'
     UNKNOWN = 'unknown'
-    LEFT = 'caller_left'
+    CALLER_LEFT = 'caller_left'
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/cartdale/streams/answers.py
+++ b/src/cartdale/streams/answers.py
@@ -55,11 +55,11 @@
     """Return how an answer ended, for the measures."""
     match last:
         case None:
-            return Outcome.LEFT
+            return Outcome.CALLER_LEFT
         case Completed():
-            return Outcome.WHOLE
+            return Outcome.COMPLETE
         case Broken(problem=EndedEarly()):
-            return Outcome.EARLY
+            return Outcome.ENDED_EARLY
         case Broken(problem=OutcomeUnknown()):
             return Outcome.UNKNOWN
         case Broken():
--- a/src/cartdale/streams/driver.py
+++ b/src/cartdale/streams/driver.py
@@ -217,7 +217,7 @@
         if fresh:
             gap = self._meter.note(fresh, self._ports.clock.now())
             service = self.asked.work.service
-            self._ports.recorder.book.note_gap(service, gap)
+            self._ports.recorder.measurements.record_gap(service, gap)
 
     async def _take(self, event: Event) -> None:
         after, actions = decide(
--- a/tests/test_tools.py
+++ b/tests/test_tools.py
@@ -11,7 +11,7 @@
 from cartdale.exceptions import BadInputError
 from cartdale.model.engine import EngineModel
 from cartdale.model.types import Hardware, Job
-from cartdale.reports.book import MeasureBook, merge_parts
+from cartdale.reports.measurements import MeasurementStore, merge_parts
 from cartdale.reports.meter import StreamMeter
 from cartdale.reports.render import render_html, render_text
 from cartdale.reports.types import Outcome
@@ -107,21 +107,21 @@
 OBJECTIVES = Objectives(good_share=0.99, stall_ms=1000)
 
 
-def make_book(name: str, stalled: int, good: int) -> MeasureBook:
+def make_store(name: str, stalled: int, good: int) -> MeasurementStore:
     clock = VirtualClock(0, 100 * MINUTE_MS)
-    book = MeasureBook(name, clock, lambda service: OBJECTIVES)
+    store = MeasurementStore(name, clock, lambda service: OBJECTIVES)
     for number in range(stalled + good):
         meter = StreamMeter('s', 'c', 0, 100)
         meter.note(1, 50)
         meter.note(1, 5050 if number < stalled else 70)
-        book.record(meter.finish(Outcome.WHOLE))
-    return book
+        store.record(meter.finish(Outcome.COMPLETE))
+    return store
 
 
 def test_reports_merge_and_alert() -> None:
     parts = [
-        make_book('a', 30, 20).export(),
-        make_book('b', 0, 50).export(),
+        make_store('a', 30, 20).export(),
+        make_store('b', 0, 50).export(),
     ]
     report = merge_parts(parts, ('c',), 100)
     total = report.lines[0]
@@ -139,7 +139,7 @@
 
 
 def test_old_minutes_burn_nothing() -> None:
-    report = merge_parts([make_book('a', 5, 0).export()], (), 100 + 61)
+    report = merge_parts([make_store('a', 5, 0).export()], (), 100 + 61)
     burn = {(one.measure, one.window): one for one in report.lines[0].burn}
     assert burn['stalled', '5m/1h'].short == 0
 
