--- a/src/cartdale/gateway/metrics.py
+++ b/src/cartdale/gateway/metrics.py
@@ -88,19 +88,21 @@
         self._calls_by_path = calls_by_path
         registry = MetricRegistry('cartdale_gateway')
         self._registry = registry
-        self._answers = registry.count('answers', 'Answers by kind and status.')
-        self._refusals = registry.count('refusals', 'Own refusals by reason.')
-        self._streams = registry.count('streams', 'Streams by their end.')
-        self._moves = registry.count('moves', 'Generations that went on.')
-        self._first = registry.bin(
+        self._answers = registry.counter(
+            'answers', 'Answers by kind and status.'
+        )
+        self._refusals = registry.counter('refusals', 'Own refusals by reason.')
+        self._streams = registry.counter('streams', 'Streams by their end.')
+        self._moves = registry.counter('moves', 'Generations that went on.')
+        self._first = registry.histogram(
             'first_event_seconds', 'Wait for the head.', _FIRST_BOUNDS
         )
-        self._gap = registry.bin(
+        self._gap = registry.histogram(
             'longest_gap_seconds', 'Longest pause of a stream.', _GAP_BOUNDS
         )
-        self._version = registry.measure('configuration_version', 'In force.')
+        self._version = registry.gauge('configuration_version', 'In force.')
         self._gauges_by_field = {
-            field: registry.measure(name, text) for field, name, text in _GAUGES
+            field: registry.gauge(name, text) for field, name, text in _GAUGES
         }
 
     def note_answer(self, route: Route, status: int) -> None:
--- a/src/cartdale/reports/metrics.py
+++ b/src/cartdale/reports/metrics.py
@@ -10,10 +10,12 @@
     def __init__(self) -> None:
         registry = MetricRegistry('cartdale')
         self._registry = registry
-        self._answers = registry.count('answers', 'Answers by outcome.')
-        self._tokens = registry.count('tokens', 'Tokens received.')
-        self._stall = registry.count('stall_ms', 'Stall time in milliseconds.')
-        self._revision = registry.measure(
+        self._answers = registry.counter('answers', 'Answers by outcome.')
+        self._tokens = registry.counter('tokens', 'Tokens received.')
+        self._stall = registry.counter(
+            'stall_ms', 'Stall time in milliseconds.'
+        )
+        self._revision = registry.gauge(
             'configuration_revision', 'Configuration in force.'
         )
 
--- a/src/cartdale/reports/registry.py
+++ b/src/cartdale/reports/registry.py
@@ -21,22 +21,24 @@
     def __init__(self, prefix: str) -> None:
         self._prefix = prefix
         self._registry = Registry()
-        self._violations = self.measure(
+        self._violations = self.gauge(
             'invariant_violations', 'Broken invariants by name.'
         )
-        self._calls = self.measure('store_calls', 'Calls to the store.')
+        self._calls = self.gauge('store_calls', 'Calls to the store.')
 
-    def count(self, name: str, text: str) -> Counter:
+    def counter(self, name: str, text: str) -> Counter:
         """Make a counter."""
         full = f'{self._prefix}_{name}_total'
         return Counter(full, text, registry=self._registry)
 
-    def measure(self, name: str, text: str) -> Gauge:
+    def gauge(self, name: str, text: str) -> Gauge:
         """Make a gauge."""
         full = f'{self._prefix}_{name}'
         return Gauge(full, text, registry=self._registry)
 
-    def bin(self, name: str, text: str, bounds: tuple[float, ...]) -> Histogram:
+    def histogram(
+        self, name: str, text: str, bounds: tuple[float, ...]
+    ) -> Histogram:
         """Make a histogram.
 
         :param bounds: upper bounds of its buckets.
