--- a/src/cartdale/command/planning.py
+++ b/src/cartdale/command/planning.py
@@ -16,7 +16,7 @@
 from cartdale.configuration.bodies import encode_bodies
 from cartdale.declarations.load import load_declarations, read_directory
 from cartdale.declarations.types import KINDS
-from cartdale.exceptions import BadInputError, InputFault, Place
+from cartdale.exceptions import BadInputError, InputFault, SourceLocation
 from cartdale.operators.types import (
     PATH_CONFIRM,
     PATH_PLAN,
@@ -138,8 +138,8 @@
     try:
         return decode_json(path.read_bytes(), Plan)
     except (OSError, msgspec.MsgspecError) as error:
-        place = Place(str(path), 0, '(plan)')
-        raise BadInputError((InputFault(place, str(error)),)) from error
+        location = SourceLocation(str(path), 0, '(plan)')
+        raise BadInputError((InputFault(location, str(error)),)) from error
 
 
 def show_plan(command: CartdaleCommand, plan: Plan) -> None:
--- a/src/cartdale/declarations/check.py
+++ b/src/cartdale/declarations/check.py
@@ -13,7 +13,7 @@
     UpstreamKind,
 )
 from cartdale.documents import Document
-from cartdale.exceptions import InputFault, Place
+from cartdale.exceptions import InputFault, SourceLocation
 
 _KEY_HASH = re.compile('[0-9a-f]{64}')
 _ADDRESS = re.compile(r'https?://(\d{1,3}(\.\d{1,3}){3}|\[[0-9a-f:]+\]):\d+')
@@ -31,7 +31,7 @@
         path = f'{key}.{inner}'
         document = self.documents_by_key.get(key)
         if document is None:
-            return InputFault(Place('(confirmed)', 0, path), expected)
+            return InputFault(SourceLocation('(confirmed)', 0, path), expected)
         return InputFault(document.locate(path), expected)
 
 
--- a/src/cartdale/declarations/load.py
+++ b/src/cartdale/declarations/load.py
@@ -6,7 +6,7 @@
 from cartdale.declarations.check import SourceMap, check_references
 from cartdale.declarations.types import KINDS, Declarations
 from cartdale.documents import Document, parse_document
-from cartdale.exceptions import BadInputError, InputFault, Place
+from cartdale.exceptions import BadInputError, InputFault, SourceLocation
 from cartdale.structuring import structure_document
 
 _SUFFIXES = frozenset(('.json', '.jsonc'))
@@ -33,9 +33,9 @@
         path for path in directory.rglob('*') if path.suffix in _SUFFIXES
     )
     if not paths:
-        place = Place(str(directory), 0, '(directory)')
+        location = SourceLocation(str(directory), 0, '(directory)')
         raise BadInputError(
-            (InputFault(place, 'at least one .json or .jsonc file'),),
+            (InputFault(location, 'at least one .json or .jsonc file'),),
         )
     return tuple(SourceFile(str(path), _read(path)) for path in paths)
 
@@ -44,8 +44,8 @@
     try:
         return path.read_text(encoding='utf-8')
     except (OSError, UnicodeDecodeError) as error:
-        place = Place(str(path), 0, '(file)')
-        raise BadInputError((InputFault(place, str(error)),)) from error
+        location = SourceLocation(str(path), 0, '(file)')
+        raise BadInputError((InputFault(location, str(error)),)) from error
 
 
 def load_declarations(sources: tuple[SourceFile, ...]) -> Declarations:
--- a/src/cartdale/documents.py
+++ b/src/cartdale/documents.py
@@ -10,7 +10,7 @@
 import tree_sitter_json
 from tree_sitter import Language, Node, Parser
 
-from cartdale.exceptions import BadInputError, InputFault, Place
+from cartdale.exceptions import BadInputError, InputFault, SourceLocation
 
 _LANGUAGE = Language(tree_sitter_json.language())
 
@@ -30,13 +30,13 @@
     root: Plain
     lines_by_field: dict[str, int] = field(default_factory=dict)
 
-    def locate(self, field_path: str) -> Place:
+    def locate(self, field_path: str) -> SourceLocation:
         """Find a field, or the nearest enclosing one that exists."""
         probe = field_path
         while probe and probe not in self.lines_by_field:
             probe = probe.rpartition('.')[0]
         line = self.lines_by_field.get(probe, 1)
-        return Place(self.path, line, field_path or '(document)')
+        return SourceLocation(self.path, line, field_path or '(document)')
 
 
 class _Reader:
@@ -98,8 +98,8 @@
         return decoded
 
     def _fault(self, node: Node, at: str, expected: str) -> None:
-        place = Place(self._path, node.start_point.row + 1, at)
-        self.faults.append(InputFault(place, expected))
+        location = SourceLocation(self._path, node.start_point.row + 1, at)
+        self.faults.append(InputFault(location, expected))
 
 
 def _describe_syntax(node: Node) -> str:
@@ -125,8 +125,8 @@
         if node.type not in {'comment', 'ERROR'}
     ]
     if len(roots) != 1 and not reader.faults:
-        place = Place(path, 1, '(document)')
-        reader.faults.append(InputFault(place, 'one JSON value'))
+        location = SourceLocation(path, 1, '(document)')
+        reader.faults.append(InputFault(location, 'one JSON value'))
     root: Plain = None
     if roots and not reader.faults:
         root = reader.read(roots[0], '')
--- a/src/cartdale/exceptions.py
+++ b/src/cartdale/exceptions.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class SourceLocation:
     """Point at a field in a file.
 
     :param path: file as the user named it.
@@ -35,12 +35,12 @@
 class InputFault:
     """Describe one fault in a file that a user wrote."""
 
-    place: Place
+    location: SourceLocation
     expected: str
 
     def __str__(self) -> str:
         """Format the fault on one line."""
-        return f'{self.place}: {self.expected}'
+        return f'{self.location}: {self.expected}'
 
 
 class BadInputError(CartdaleError):
--- a/src/cartdale/platform/settings.py
+++ b/src/cartdale/platform/settings.py
@@ -10,7 +10,7 @@
 from typing import Final, TypeVar
 
 from cartdale.clock import SECOND_MS, Millis
-from cartdale.exceptions import BadInputError, InputFault, Place
+from cartdale.exceptions import BadInputError, InputFault, SourceLocation
 from cartdale.fleet.cold import ColdBound
 
 #: Environment variable that holds the path of the settings file.
@@ -87,8 +87,8 @@
     try:
         text = path.read_text(encoding='utf-8')
     except (OSError, UnicodeDecodeError) as error:
-        place = Place(str(path), _MISSING_LINE, '(file)')
-        raise BadInputError((InputFault(place, str(error)),)) from error
+        location = SourceLocation(str(path), _MISSING_LINE, '(file)')
+        raise BadInputError((InputFault(location, str(error)),)) from error
     return parse_platform_settings(text, str(path))
 
 
@@ -203,8 +203,8 @@
         self._rows_by_field[name.strip()] = (number, raw.strip())
 
     def _blame(self, number: int, name: str, expected: str) -> None:
-        place = Place(self._path, number, name)
-        self._faults.append(InputFault(place, expected))
+        location = SourceLocation(self._path, number, name)
+        self._faults.append(InputFault(location, expected))
 
 
 def _parse_text(raw: str) -> str:
--- a/src/cartdale/settings/load.py
+++ b/src/cartdale/settings/load.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 from cartdale.documents import Document, parse_document
-from cartdale.exceptions import BadInputError, InputFault, Place
+from cartdale.exceptions import BadInputError, InputFault, SourceLocation
 from cartdale.settings.types import Listener, Settings
 from cartdale.structuring import structure_document
 
@@ -37,8 +37,8 @@
     try:
         text = path.read_text(encoding='utf-8')
     except (OSError, UnicodeDecodeError) as error:
-        place = Place(str(path), 0, '(file)')
-        raise BadInputError((InputFault(place, str(error)),)) from error
+        location = SourceLocation(str(path), 0, '(file)')
+        raise BadInputError((InputFault(location, str(error)),)) from error
     document = parse_document(text, str(path))
     settings = structure_document(document, Settings)
     faults = tuple(_check(settings, document))
@@ -65,15 +65,15 @@
     keys: list[bytes] = []
     faults: list[InputFault] = []
     for index, name in enumerate(names):
-        place = Place(str(base / name), 0, f'{field}.{index}')
+        location = SourceLocation(str(base / name), 0, f'{field}.{index}')
         try:
             key = (base / name).read_bytes().strip()
         except OSError as error:
-            faults.append(InputFault(place, str(error)))
+            faults.append(InputFault(location, str(error)))
             continue
         if len(key) < _SHORTEST_KEY:
             expected = f'a key of at least {_SHORTEST_KEY} bytes'
-            faults.append(InputFault(place, expected))
+            faults.append(InputFault(location, expected))
             continue
         keys.append(key)
     if faults:
--- a/src/cartdale/structuring.py
+++ b/src/cartdale/structuring.py
@@ -81,7 +81,7 @@
 
 
 def _by_line(fault: InputFault) -> int:
-    return fault.place.line
+    return fault.location.line
 
 
 def _collect(
--- a/src/cartdale/switches.py
+++ b/src/cartdale/switches.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from cartdale.exceptions import BadInputError, InputFault, Place
+from cartdale.exceptions import BadInputError, InputFault, SourceLocation
 
 #: Environment variable that lists what is off, by commas.
 OFF_VARIABLE = 'CARTDALE_OFF'
@@ -67,9 +67,9 @@
     """
     names = {name.strip() for name in text.split(',')} - {''}
     known = set(Mechanism)
-    place = Place(OFF_VARIABLE, 0, 'off')
+    location = SourceLocation(OFF_VARIABLE, 0, 'off')
     faults = tuple(
-        InputFault(place, f'{name!r} is none of {", ".join(sorted(known))}')
+        InputFault(location, f'{name!r} is none of {", ".join(sorted(known))}')
         for name in sorted(names - known)
     )
     if faults:
