--- a/src/cartdale/callers/plain.py
+++ b/src/cartdale/callers/plain.py
@@ -19,7 +19,7 @@
 from cartdale.callers.types import Caller
 from cartdale.clock import Clock, Millis
 from cartdale.declarations.types import Repeat, Service, Upstream
-from cartdale.engines.plain import PlainAnswer, PlainRequest, PlainService
+from cartdale.engines.plain import PlainRequest, PlainResponse, PlainService
 from cartdale.engines.types import EngineRefused, LinkLost
 from cartdale.invariants import AT_MOST_ONCE, check_invariant
 from cartdale.ledger.types import ANSWER_LIMIT, KeptAnswer, RecordPhase
@@ -73,7 +73,7 @@
     :param sent: whether the upstream may have run it.
     """
 
-    answer: PlainAnswer | None
+    answer: PlainResponse | None
     sent: bool
 
 
@@ -100,7 +100,7 @@
                 return make_problem_response(problem)
             case Success(Repeated(answer=kept)):
                 return _answer(
-                    PlainAnswer(kept.status, kept.content_type, kept.body)
+                    PlainResponse(kept.status, kept.content_type, kept.body)
                 )
             case Success(Grant() as grant):
                 return await self._run(call, grant)
@@ -180,7 +180,7 @@
                     watch.note_ran_on()
                 return _Attempted(given, sent=True)
             case Failure(LinkLost()):
-                if await service.is_gone():
+                if await service.is_unreachable():
                     watch.note_lost(name)
                 return _Attempted(None, sent=True)
             case Failure(EngineRefused(backoff=backoff)):
@@ -209,13 +209,13 @@
     return head + request.body
 
 
-def _keep(answer: PlainAnswer) -> KeptAnswer | None:
+def _keep(answer: PlainResponse) -> KeptAnswer | None:
     if len(answer.body) > ANSWER_LIMIT:
         return None
     return KeptAnswer(answer.status, answer.content_type, answer.body)
 
 
-def _answer(answer: PlainAnswer) -> Response:
+def _answer(answer: PlainResponse) -> Response:
     return Response(
         answer.body, status=answer.status, content_type=answer.content_type
     )
--- a/src/cartdale/engines/plain.py
+++ b/src/cartdale/engines/plain.py
@@ -55,7 +55,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PlainAnswer:
+class PlainResponse:
     """Carry the answer of a plain service."""
 
     status: int
@@ -79,7 +79,7 @@
 
     async def call(
         self, asked: PlainRequest
-    ) -> Result[PlainAnswer, EngineFailure]:
+    ) -> Result[PlainResponse, EngineFailure]:
         """Make one attempt."""
         try:
             response = await self._client.request(
@@ -97,14 +97,14 @@
             backoff = find_backoff(response)
             return Failure(EngineRefused(response.status_code, backoff))
         return Success(
-            PlainAnswer(
+            PlainResponse(
                 response.status_code,
                 response.headers.get('content-type', ''),
                 response.content,
             ),
         )
 
-    async def is_gone(self) -> bool:
+    async def is_unreachable(self) -> bool:
         """Tell whether the service takes no connections, or ends each."""
         url = httpx.URL(self._address)
         port = url.port or _PORTS_BY_SCHEME[url.scheme]
