--- a/src/cartdale_standins/plain.py
+++ b/src/cartdale_standins/plain.py
@@ -21,7 +21,7 @@
         self.runs_by_key: Counter[str] = Counter()
         self.delay_seconds = float(0)
         #: For how many seconds callers are told to stay away; empty to serve.
-        self.rest = ''
+        self.retry_after = ''
         #: When calls were turned away, in seconds of the loop's clock.
         self.refused_at: list[float] = []
         #: Body that ends the service, how often one did, and what cuts its
@@ -40,12 +40,12 @@
         return app
 
     async def _run(self, path: str) -> Response:
-        if self.rest:
+        if self.retry_after:
             self.refused_at.append(trio.current_time())
             return Response(
                 b'',
                 status=HTTPStatus.SERVICE_UNAVAILABLE.value,
-                headers={'Retry-After': self.rest},
+                headers={'Retry-After': self.retry_after},
             )
         key = request.headers.get(HEADER_KEY, '')
         self.runs_by_key[key] += 1
--- a/src/cartdale_standins/platform_engine.py
+++ b/src/cartdale_standins/platform_engine.py
@@ -25,8 +25,8 @@
     METHODS,
     LinkCutError,
     PlatformWorker,
-    decline,
     read_body,
+    reject,
 )
 
 #: Tokens that an event holds.
@@ -144,7 +144,7 @@
             )
         made = int(request.headers.get('Last-Event-Id') or '0')
         if not self._has_memory(request_id):
-            return decline()
+            return reject()
         resumed = 'Kv-From' in request.headers
         counter = self.resumed_by_request if resumed else self.runs_by_request
         counter[request_id] += 1
--- a/src/cartdale_standins/platform_worker.py
+++ b/src/cartdale_standins/platform_worker.py
@@ -24,19 +24,19 @@
 class PlainFaults:
     """Switch a plain service's failures, each for the next requests.
 
-    :param declines: requests that are turned away as not run.
-    :param cuts: requests that run and whose answer is lost.
+    :param rejections: requests that are turned away as not run.
+    :param lost_responses: requests that run and whose answer is lost.
     :param errors: requests that run and fail.
-    :param strangers: requests answered with another request's id.
-    :param rest: for how many seconds those that are turned away should stay
-        away, as the header says it; empty for not to say.
+    :param mismatched_ids: requests answered with another request's id.
+    :param retry_after: value of the Retry-After header on rejections, in
+        seconds; empty for none.
     """
 
-    declines: int = 0
-    cuts: int = 0
+    rejections: int = 0
+    lost_responses: int = 0
     errors: int = 0
-    strangers: int = 0
-    rest: str = ''
+    mismatched_ids: int = 0
+    retry_after: str = ''
 
 
 def _now() -> Millis:
@@ -70,13 +70,13 @@
     """Hold what became of a request here, and when.
 
     :param at: seconds of the loop's clock.
-    :param rest: what its answer asked for, as the header said it.
+    :param retry_after: what its answer asked for, as the header said it.
     :param limit: rate limit that its answer named, as the header said it.
     """
 
     request_id: str
     at: float
-    rest: str = ''
+    retry_after: str = ''
     limit: str = ''
 
 
@@ -178,9 +178,9 @@
         if body in self.crashes.deadly:
             self.crash(request_id)
             await trio.sleep_forever()
-        if self._spend('cuts'):
+        if self._spend('lost_responses'):
             raise LinkCutError
-        if self._spend('strangers'):
+        if self._spend('mismatched_ids'):
             request_id = 'of-another'
         failed = self._spend('errors')
         return Response(
@@ -194,10 +194,10 @@
         self.heads.append(dict(request.headers.items()))
         if request.headers.get('Expect-Instance', self.name) != self.name:
             return Response(status=HTTPStatus.MISDIRECTED_REQUEST.value)
-        if self._spend('declines'):
-            if self.faults.rest:
-                self.rests_asked.append(_see(self.faults.rest))
-            return decline(self.faults.rest)
+        if self._spend('rejections'):
+            if self.faults.retry_after:
+                self.rests_asked.append(_see(self.faults.retry_after))
+            return reject(self.faults.retry_after)
         return None
 
     def _sign(self, request_id: str) -> dict[str, str]:
@@ -213,23 +213,23 @@
         return bool(left)
 
 
-def decline(rest: str = '') -> Response:
+def reject(retry_after: str = '') -> Response:
     """Say that the request did not run.
 
-    :param rest: for how many seconds nothing should come; empty for not to say.
+    :param retry_after: value of the Retry-After header; empty for none.
     """
     response = Response(
         status=HTTPStatus.SERVICE_UNAVAILABLE.value,
         headers={'Not-Executed': '1'},
     )
-    if rest:
-        response.headers['Retry-After'] = rest
+    if retry_after:
+        response.headers['Retry-After'] = retry_after
     return response
 
 
-def _see(rest: str = '', limit: str = '') -> Seen:
+def _see(retry_after: str = '', limit: str = '') -> Seen:
     name = request.headers.get('Request-Id', '')
-    return Seen(name, trio.current_time(), rest, limit)
+    return Seen(name, trio.current_time(), retry_after, limit)
 
 
 async def read_body() -> bytes:
--- a/tests/fault_soak/faults.py
+++ b/tests/fault_soak/faults.py
@@ -127,8 +127,8 @@
                 self._soak.nursery.start_soon(self._silence, fault, lasts)
             case 'lost answers':
                 plain = self._soak.random.choice(self._list_up('portal')).worker
-                plain.faults.cuts += self._soak.random.randrange(1, 4)
-                plain.faults.strangers += self._soak.random.randrange(2)
+                plain.faults.lost_responses += self._soak.random.randrange(1, 4)
+                plain.faults.mismatched_ids += self._soak.random.randrange(2)
 
     def _speak(self, fault: str, lasts: float) -> None:
         """Let upstreams say something of themselves, or the store go back."""
--- a/tests/fault_soak/notices.py
+++ b/tests/fault_soak/notices.py
@@ -51,11 +51,11 @@
     chosen = listed if everyone else listed[:1]
     for upstream in chosen:
         wanted = _LONG_REST if everyone else soak.random.choice(_RESTS)
-        upstream.worker.faults.declines = _ENDLESS
-        upstream.worker.faults.rest = wanted
+        upstream.worker.faults.rejections = _ENDLESS
+        upstream.worker.faults.retry_after = wanted
     await trio.sleep(lasts)
     for upstream in chosen:
-        upstream.worker.faults.declines = 0
+        upstream.worker.faults.rejections = 0
 
 
 def check_notices(soak: Any) -> None:
@@ -101,7 +101,7 @@
     soak: Any, upstream: Upstream, arrivals: Arrivals, asked: Asked, seen: Seen
 ) -> None:
     try:
-        ends_at = seen.at + float(seen.rest)
+        ends_at = seen.at + float(seen.retry_after)
     except ValueError:
         return
     began = seen.at + ON_ITS_WAY_SECONDS + SLACK_SECONDS
--- a/tests/test_crash_probes.py
+++ b/tests/test_crash_probes.py
@@ -75,7 +75,7 @@
 async def test_a_lost_answer_is_told_from_a_lost_upstream() -> None:
     lines = collect_lines('link broke')
     async with open_platform() as stage:
-        stage.plains[0].faults.cuts = 1
+        stage.plains[0].faults.lost_responses = 1
         headers = make_headers('r1')
         await stage.client.post(stage.url('/cut/one'), headers=headers)
         assert count_runs(stage, 'r1') == 1
--- a/tests/test_log_fields.py
+++ b/tests/test_log_fields.py
@@ -50,7 +50,7 @@
     with recorded() as lines:
         async with open_platform(engines=1, plains=2) as stage:
             for plain in stage.plains:
-                plain.faults.cuts = 1
+                plain.faults.lost_responses = 1
                 plain.faults.errors = 1
             for number in range(4):
                 await stage.client.get(
--- a/tests/test_platform_path.py
+++ b/tests/test_platform_path.py
@@ -80,8 +80,8 @@
 async def test_declined_request_goes_to_another_upstream() -> None:
     async with open_platform(plains=2) as stage:
         for plain in stage.plains:
-            plain.faults.declines = 1
-        stage.plains[1].faults.declines = 0
+            plain.faults.rejections = 1
+        stage.plains[1].faults.rejections = 0
         for number in range(4):
             answer = await stage.client.post(
                 stage.url('/cut/one'), headers=make_headers(f'r{number}')
@@ -93,7 +93,7 @@
 async def test_unsafe_request_runs_once_when_its_answer_is_lost() -> None:
     async with open_platform(plains=2) as stage:
         for plain in stage.plains:
-            plain.faults.cuts = 1
+            plain.faults.lost_responses = 1
         answer = await stage.client.post(
             stage.url('/cut/one'), headers=make_headers('r1')
         )
@@ -104,8 +104,8 @@
 async def test_safe_request_is_repeated_and_another_answer_dropped() -> None:
     async with open_platform(plains=2) as stage:
         for plain in stage.plains:
-            plain.faults.strangers = 1
-        stage.plains[1].faults.strangers = 0
+            plain.faults.mismatched_ids = 1
+        stage.plains[1].faults.mismatched_ids = 0
         for number in range(4):
             answer = await stage.client.get(
                 stage.url('/look/one'), headers=make_headers(f'r{number}')
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -180,7 +180,7 @@
 async def test_lost_answers_of_upstreams_that_live_are_no_evidence() -> None:
     async with open_platform(plains=3, proxied=True) as stage:
         for plain in stage.plains:
-            plain.faults.cuts = 9
+            plain.faults.lost_responses = 9
         for number in range(4):
             await ask_deadly(stage, number, '/look/a', 'GET')
         assert not stage.runtimes[0].fleet.quarantine.state.records_by_identity
--- a/tests/test_rests.py
+++ b/tests/test_rests.py
@@ -72,7 +72,7 @@
     """It is the only one of its service: callers are told when to return."""
     async with open_platform(plains=1) as stage:
         plain = stage.plains[0]
-        plain.faults.declines, plain.faults.rest = 1000, str(REST)
+        plain.faults.rejections, plain.faults.retry_after = 1000, str(REST)
         waits: list[float] = []
         with trio.move_on_after(REST):
             for number in range(1000):
@@ -91,7 +91,7 @@
 async def test_others_serve_while_one_rests() -> None:
     async with open_platform(plains=2) as stage:
         resting = stage.plains[0]
-        resting.faults.declines, resting.faults.rest = 1, '0.8'
+        resting.faults.rejections, resting.faults.retry_after = 1, '0.8'
         numbers = iter(range(10**6))
         while not resting.rests_asked:
             answer = await ask(stage, f'before-{next(numbers)}')
@@ -107,7 +107,7 @@
     """All were placed before the first of them was turned away."""
     async with open_platform(plains=1) as stage:
         plain = stage.plains[0]
-        plain.faults.declines, plain.faults.rest = 1000, str(REST)
+        plain.faults.rejections, plain.faults.retry_after = 1000, str(REST)
         async with trio.open_nursery() as nursery:
             for number in range(30):
                 nursery.start_soon(ask, stage, f'r-{number}')
@@ -133,7 +133,7 @@
 async def test_who_can_be_served_in_time_waits_for_the_end_of_a_rest() -> None:
     async with open_platform(plains=1) as stage:
         plain = stage.plains[0]
-        plain.faults.declines, plain.faults.rest = 1, '0.6'
+        plain.faults.rejections, plain.faults.retry_after = 1, '0.6'
         began = trio.current_time()
         answer = await ask(stage, 'r')
         assert answer.status_code == 200
@@ -145,7 +145,10 @@
     """Both of the service do; a third one would get them all."""
     async with open_platform(engines=2) as stage:
         for engine in stage.engines:
-            engine.faults.declines, engine.faults.rest = 1000, str(REST)
+            engine.faults.rejections, engine.faults.retry_after = (
+                1000,
+                str(REST),
+            )
         answers: list[httpx.Response] = []
 
         async def submit(number: int) -> None:
--- a/tests/test_rests_own.py
+++ b/tests/test_rests_own.py
@@ -60,7 +60,7 @@
 ) -> None:
     async with open_stage(tmp_path) as stage:
         await stage.settle(stage.declare())
-        stage.plain.rest = str(REST)
+        stage.plain.retry_after = str(REST)
         waits: list[float] = []
         with trio.move_on_after(REST):
             while True:
--- a/tests/test_upstream_limits.py
+++ b/tests/test_upstream_limits.py
@@ -88,7 +88,7 @@
         plain.limit = '20'
         await ask(stage, 'r1')
         await until(lambda: has_permit(fleet))
-        plain.limit, plain.faults.strangers = '', 1
+        plain.limit, plain.faults.mismatched_ids = '', 1
         assert (await ask(stage, 'r2')).status_code != 200
         assert fleet.find('plain-0').rate_limit.per_second == 20
         await until(lambda: has_permit(fleet))
