--- a/src/cartdale_standins/engine.py
+++ b/src/cartdale_standins/engine.py
@@ -93,7 +93,7 @@
         #: When new work was refused, in seconds of the loop's clock.
         self.refused_at: list[float] = []
         #: Prompts that end the engine as it begins them; it starts again.
-        self.deadly: set[str] = set()
+        self.crashing_prompts: set[str] = set()
 
     @property
     def driver(self) -> EngineDriver:
@@ -120,7 +120,7 @@
             app.add_url_rule(path, f'{method} {path}', view, methods=[method])
         return app
 
-    def start_again(self) -> None:
+    def restart(self) -> None:
         """Lose all generations, as an engine that ends and starts again."""
         for generation in tuple(self._driver.records_by_generation):
             self._driver.model.cancel(generation)
@@ -155,8 +155,8 @@
         self._driver.records_by_generation[generation] = record
         started = self.started_by_generation.get(generation, 0)
         self.started_by_generation[generation] = started + 1
-        if prompt in self.deadly:
-            self.start_again()
+        if prompt in self.crashing_prompts:
+            self.restart()
         return self._stream(generation, record, 0)
 
     async def _attach(self, generation: str) -> Response:
@@ -237,7 +237,7 @@
         self.faults = await _body(EngineFaults)
         self._driver.frozen = self.faults.frozen
         if self.faults.forget:
-            self.start_again()
+            self.restart()
             self.faults = replace(self.faults, forget=False)
         return _answer(self.faults)
 
--- a/src/cartdale_standins/plain.py
+++ b/src/cartdale_standins/plain.py
@@ -26,9 +26,9 @@
         self.refused_at: list[float] = []
         #: Body that ends the service, how often one did, and what cuts its
         #: connections then.
-        self.ends_on = b''
-        self.ended = 0
-        self.on_end: Callable[[], None] | None = None
+        self.crash_body = b''
+        self.crash_count = 0
+        self.on_crash: Callable[[], None] | None = None
 
     def make_app(self) -> QuartTrio:
         """Build the HTTP application."""
@@ -50,9 +50,9 @@
         key = request.headers.get(HEADER_KEY, '')
         self.runs_by_key[key] += 1
         await trio.sleep(self.delay_seconds)
-        if self.on_end is not None and await _read_body() == self.ends_on:
-            self.ended += 1
-            self.on_end()
+        if self.on_crash is not None and await _read_body() == self.crash_body:
+            self.crash_count += 1
+            self.on_crash()
             await trio.sleep_forever()
         return _answer({'path': path, 'run': self.runs_by_key[key]})
 
--- a/src/cartdale_standins/platform_engine.py
+++ b/src/cartdale_standins/platform_engine.py
@@ -152,7 +152,7 @@
         await self._back_up(request_id)
         if vanishes:
             await trio.sleep_forever()
-        deadly = await read_body() in self.crashes.deadly
+        deadly = await read_body() in self.crashes.crashing_bodies
         response = self._begin(request_id, made, deadly=deadly)
         while self.streams.headless and not self.dead:
             await trio.sleep(_POLL_SECONDS)
--- a/src/cartdale_standins/platform_worker.py
+++ b/src/cartdale_standins/platform_worker.py
@@ -47,22 +47,22 @@
 class Crashes:
     """Say which requests end an upstream, and what follows.
 
-    :param deadly: bodies that end it as it begins to run them.
+    :param crashing_bodies: bodies that end it as it begins to run them.
     :param down_seconds: time until it is back under its id.
     :param born: Unix milliseconds of its start.
-    :param ended_by: ids of the requests that ended it, in order.
-    :param ended_at: when each did, in seconds of the loop's clock.
-    :param on_end: called as it ends, to cut its connections.
-    :param on_return: called once it is back.
+    :param crashed_by: ids of the requests that ended it, in order.
+    :param crashed_at: when each did, in seconds of the loop's clock.
+    :param on_crash: called as it ends, to cut its connections.
+    :param on_restart: called once it is back.
     """
 
-    deadly: set[bytes] = field(default_factory=set)
+    crashing_bodies: set[bytes] = field(default_factory=set)
     down_seconds: float = 0.3
     born: int = field(default_factory=_now)
-    ended_by: list[str] = field(default_factory=list)
-    ended_at: list[float] = field(default_factory=list)
-    on_end: Callable[[], None] | None = None
-    on_return: Callable[[], None] | None = None
+    crashed_by: list[str] = field(default_factory=list)
+    crashed_at: list[float] = field(default_factory=list)
+    on_crash: Callable[[], None] | None = None
+    on_restart: Callable[[], None] | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -127,8 +127,8 @@
             self.leaving = False
             self.limit = ''
             self.dead = False
-            if self.crashes.on_return is not None:
-                self.crashes.on_return()
+            if self.crashes.on_restart is not None:
+                self.crashes.on_restart()
 
     def die(self) -> None:
         """End at once, as a machine that is taken away does."""
@@ -136,12 +136,12 @@
 
     def crash(self, request_id: str) -> None:
         """End at once by a request, and come back later."""
-        self.crashes.ended_by.append(request_id)
-        self.crashes.ended_at.append(trio.current_time())
+        self.crashes.crashed_by.append(request_id)
+        self.crashes.crashed_at.append(trio.current_time())
         self.die()
         self._crashed.set()
-        if self.crashes.on_end is not None:
-            self.crashes.on_end()
+        if self.crashes.on_crash is not None:
+            self.crashes.on_crash()
 
     def forget(self) -> None:
         """Lose what the life before held."""
@@ -175,7 +175,7 @@
         self.bodies.append(body)
         request_id = request.headers['Request-Id']
         self.runs_by_request[request_id] += 1
-        if body in self.crashes.deadly:
+        if body in self.crashes.crashing_bodies:
             self.crash(request_id)
             await trio.sleep_forever()
         if self._spend('lost_responses'):
--- a/tests/fault_soak/deadly.py
+++ b/tests/fault_soak/deadly.py
@@ -84,7 +84,7 @@
         request = DeadlyRequest(f'deadly {soak.next_number()}'.encode())
         self.requests.append(request)
         for upstream in soak.upstreams:
-            upstream.worker.crashes.deadly.add(request.body)
+            upstream.worker.crashes.crashing_bodies.add(request.body)
         soak.deadly.add(request.body)
         async with httpx.AsyncClient(timeout=_TIMEOUT) as client:
             with trio.move_on_after(soak.random.uniform(*_LASTS)):
@@ -99,7 +99,7 @@
         for upstream in self._soak.upstreams:
             crashes = upstream.worker.crashes
             for name, at in zip(
-                crashes.ended_by, crashes.ended_at, strict=True
+                crashes.crashed_by, crashes.crashed_at, strict=True
             ):
                 ends_by_name.setdefault(name, []).append(at)
         return {
--- a/tests/fault_soak/limits.py
+++ b/tests/fault_soak/limits.py
@@ -236,7 +236,7 @@
             upstream.disturbed_at,
             upstream.drained_at or 0,
             upstream.evacuated_at + EVACUATED_SECONDS,
-            *worker.crashes.ended_at,
+            *worker.crashes.crashed_at,
             *(seen.at for seen in worker.rests_asked),
             *(seen.at for seen in worker.told_leaving),
         ]
--- a/tests/fault_soak/notices.py
+++ b/tests/fault_soak/notices.py
@@ -88,8 +88,8 @@
     for arrived_at, asked in arrivals:
         if not _is_same_sender(asked, told) or asked.at < bound:
             continue
-        if upstream.worker.crashes.ended_at and _is_between(
-            upstream.worker.crashes.ended_at, at, arrived_at
+        if upstream.worker.crashes.crashed_at and _is_between(
+            upstream.worker.crashes.crashed_at, at, arrived_at
         ):
             # Another life of it.
             continue
@@ -113,7 +113,9 @@
         start < ends_at and end + SLACK_SECONDS > seen.at
         for start, end in upstream.cuts
     )
-    other_life = _is_between(upstream.worker.crashes.ended_at, seen.at, ends_at)
+    other_life = _is_between(
+        upstream.worker.crashes.crashed_at, seen.at, ends_at
+    )
     still = stood_still(soak, asked.instance, seen.at, ends_at)
     if not (cut or other_life or still):
         soak.checks.check_rest(upstream.worker.name, asked.instance, count)
--- a/tests/fault_soak/run.py
+++ b/tests/fault_soak/run.py
@@ -156,15 +156,15 @@
             worker = PlatformEngine(name, proxy.address, _HARDWARE)
         else:
             worker = PlatformWorker(name)
-        worker.crashes.deadly.update(self.deadly)
+        worker.crashes.crashing_bodies.update(self.deadly)
         self.nursery.start_soon(proxy.run)
         self.nursery.start_soon(worker.run)
         self.nursery.start_soon(bound.serve, worker.make_app(), trio.Event())
         domain = DOMAINS[len(self.upstreams) % len(DOMAINS)]
         upstream = Upstream(worker, proxy, service, domain)
         self.upstreams.append(upstream)
-        worker.crashes.on_end = partial(self._go_down, upstream)
-        worker.crashes.on_return = partial(self._come_back, upstream)
+        worker.crashes.on_crash = partial(self._go_down, upstream)
+        worker.crashes.on_restart = partial(self._come_back, upstream)
         self.list_upstream(upstream, 'ready')
 
     def list_upstream(self, upstream: Upstream, state: str) -> None:
--- a/tests/platform_stage.py
+++ b/tests/platform_stage.py
@@ -244,8 +244,8 @@
             born = worker.crashes.born
             self.list_upstream(worker.name, service, address, born=born)
 
-        worker.crashes.on_end = cut
-        worker.crashes.on_return = come_back
+        worker.crashes.on_crash = cut
+        worker.crashes.on_restart = come_back
         come_back()
 
     async def _run(
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -71,7 +71,7 @@
     """
     upstreams = (*stage.engines, *stage.plains)
     for upstream in upstreams:
-        upstream.crashes.deadly.add(DEADLY)
+        upstream.crashes.crashing_bodies.add(DEADLY)
     answers: list[httpx.Response | None] = []
 
     def are_all_up() -> bool:
@@ -94,7 +94,7 @@
 
 def count_ends(stage: PlatformStage) -> int:
     return sum(
-        len(each.crashes.ended_by) for each in (*stage.engines, *stage.plains)
+        len(each.crashes.crashed_by) for each in (*stage.engines, *stage.plains)
     )
 
 
@@ -143,7 +143,7 @@
 async def test_one_that_may_have_run_is_not_told_that_it_did_not() -> None:
     async with open_platform(plains=5, proxied=True) as stage:
         for plain in stage.plains:
-            plain.crashes.deadly.add(DEADLY)
+            plain.crashes.crashing_bodies.add(DEADLY)
         answers = [
             await ask_deadly(stage, number, '/look/a', 'GET')
             for number in range(2)
@@ -287,7 +287,7 @@
         sick, *sound = stage.plains
         sick.faults.errors = 99
         for plain in sound:
-            plain.crashes.deadly.add(DEADLY)
+            plain.crashes.crashing_bodies.add(DEADLY)
 
         def are_all_up() -> bool:
             return not any(each.dead for each in stage.plains)
--- a/tests/test_quarantine_own.py
+++ b/tests/test_quarantine_own.py
@@ -20,7 +20,7 @@
 
 def make_deadly(stage: Stage) -> None:
     for engine in stage.engines:
-        engine.deadly.add(DEADLY)
+        engine.crashing_prompts.add(DEADLY)
 
 
 def count_starts(stage: Stage) -> int:
@@ -72,8 +72,8 @@
         proxy = FaultProxy(port)
         stage.nursery.start_soon(proxy.run)
         stage.addresses_by_name['plain-0'] = f'http://{proxy.address}'
-        stage.plain.ends_on = b'deadly'
-        stage.plain.on_end = partial(proxy.set, LinkState.RESET)
+        stage.plain.crash_body = b'deadly'
+        stage.plain.on_crash = partial(proxy.set, LinkState.RESET)
         await stage.settle(stage.declare())
         statuses = []
         for _ in range(5):
@@ -84,5 +84,5 @@
             )
             statuses.append(answer.status_code)
             proxy.set(LinkState.NORMAL)
-        assert stage.plain.ended == CRASHES_TO_QUARANTINE
+        assert stage.plain.crash_count == CRASHES_TO_QUARANTINE
         assert statuses == [502, 502, 502, 503, 503]
