--- a/src/cartdale_standins/platform_engine.py
+++ b/src/cartdale_standins/platform_engine.py
@@ -52,18 +52,18 @@
 class StreamFaults:
     """Switch what goes wrong with streams.
 
-    :param tear: whether a stream that is cut ends inside an event.
-    :param mute: whether streams send nothing more while they are made.
-    :param vanish: whether requests end at once, and nobody is told.
-    :param headless: whether answers don't begin while they are made.
+    :param cut_inside_event: whether a stream that is cut ends inside an event.
+    :param withhold_events: whether streams send nothing while they are made.
+    :param lose_requests: whether requests end at once, and nobody is told.
+    :param withhold_headers: whether answers don't begin while they are made.
     :param end_before_stop: whether generations end by themselves just before
         they are stopped.
     """
 
-    tear: bool = False
-    mute: bool = False
-    vanish: bool = False
-    headless: bool = False
+    cut_inside_event: bool = False
+    withhold_events: bool = False
+    lose_requests: bool = False
+    withhold_headers: bool = False
     end_before_stop: bool = False
 
 
@@ -79,17 +79,17 @@
         self.driver = EngineDriver(hardware, SystemClock())
         self.memory = EngineMemory()
         self.resumed_by_request: Counter[str] = Counter()
-        self.streams = StreamFaults()
+        self.stream_faults = StreamFaults()
         self.leaves_ms: float | None = None
         #: Copies that were asked for while one of the same was under way.
         self.conflicts = 0
         self._copying: set[str] = set()
         #: For each generation, whether each copy that was asked for stops it.
         self.stops_by_request: dict[str, list[bool]] = {}
-        self.copies_taken = 0
+        self.copies_received = 0
         self.copies_freed = 0
         #: Seconds that a copy takes, as if others used the link.
-        self.copy_takes: float = 0
+        self.copy_seconds: float = 0
         #: Copies wait here, as if others used the link, until it is set.
         self.copy_gate = trio.Event()
         self.copy_gate.set()
@@ -148,13 +148,13 @@
         resumed = 'Kv-From' in request.headers
         counter = self.resumed_by_request if resumed else self.runs_by_request
         counter[request_id] += 1
-        vanishes = self.streams.vanish
+        vanishes = self.stream_faults.lose_requests
         await self._back_up(request_id)
         if vanishes:
             await trio.sleep_forever()
         deadly = await read_body() in self.crashes.crashing_bodies
         response = self._begin(request_id, made, deadly=deadly)
-        while self.streams.headless and not self.dead:
+        while self.stream_faults.withhold_headers and not self.dead:
             await trio.sleep(_POLL_SECONDS)
         if self.dead:
             raise LinkCutError
@@ -211,7 +211,7 @@
                     await record.changed.wait()
                     continue
                 sent += 1
-                if self.streams.mute:
+                if self.stream_faults.withhold_events:
                     await self._wait_for_stop(request_id)
                 yield format_event(request_id, made + sent)
         finally:
@@ -235,7 +235,11 @@
     def _tear(self, request_id: str, number: int) -> bytes:
         """Return the part of an event that is sent before the cut."""
         event = format_event(request_id, number)
-        return event[: len(event) // 2] if self.streams.tear else b''
+        return (
+            event[: len(event) // 2]
+            if self.stream_faults.cut_inside_event
+            else b''
+        )
 
     async def _move(self) -> Response:
         order = msgspec.json.decode(await request.get_data())
@@ -257,7 +261,7 @@
     ) -> Response:
         stops = self.stops_by_request.setdefault(request_id, [])
         stops.append(order.get('last', False))
-        if order.get('last') and self.streams.end_before_stop:
+        if order.get('last') and self.stream_faults.end_before_stop:
             while request_id in self.driver.records_by_generation:
                 await trio.sleep(_POLL_SECONDS)
             return Response(status=HTTPStatus.NOT_FOUND.value)
@@ -266,7 +270,7 @@
             self.driver.model.cancel(request_id)
             record.wake()
         events = record.produced // STRIDE
-        await trio.sleep(self.copy_takes)
+        await trio.sleep(self.copy_seconds)
         await self.copy_gate.wait()
         handle = f'{self.name}-{request_id}'
         await _tell(
@@ -280,7 +284,7 @@
         if backed_up:
             self.memory.backed_up.add(backed_up)
         else:
-            self.copies_taken += 1
+            self.copies_received += 1
             self.memory.events_by_handle[copy['handle']] = copy['events']
         return _answer({})
 
--- a/tests/fault_soak/faults.py
+++ b/tests/fault_soak/faults.py
@@ -198,11 +198,11 @@
         """Let an engine drop what it is sent, or begin no answer."""
         engine = self._soak.random.choice(self._list_up()).worker
         assert isinstance(engine, PlatformEngine)
-        engine.streams.vanish = fault == 'engine forgets'
-        engine.streams.headless = fault == 'engine without heads'
+        engine.stream_faults.lose_requests = fault == 'engine forgets'
+        engine.stream_faults.withhold_headers = fault == 'engine without heads'
         await trio.sleep(lasts)
-        engine.streams.vanish = False
-        engine.streams.headless = False
+        engine.stream_faults.lose_requests = False
+        engine.stream_faults.withhold_headers = False
 
     async def _pause(self, instance: Instance, lasts: float) -> None:
         instance.disturb(lasts)
--- a/tests/test_platform_moves.py
+++ b/tests/test_platform_moves.py
@@ -64,7 +64,7 @@
             target = stage.add_engine()
             await stage.settle()
             generation = stage.runtimes[0].mover.list_generations()[0]
-            source.copy_takes = 0.02
+            source.copy_seconds = 0.02
             soon = Departure(until=10**9)
             for _ in range(3):
                 nursery.start_soon(generation.leave, soon)
@@ -126,7 +126,7 @@
             source = await find_runner(stage, 'r1')
             target = stage.add_engine()
             await stage.settle()
-            source.streams.end_before_stop = True
+            source.stream_faults.end_before_stop = True
             source.leaves_ms = LEAVES_MS
             stage.drain(source)
         assert answers[0].content == whole('r1', LONG // STRIDE)
@@ -140,7 +140,7 @@
             source = await find_runner(stage, 'r1')
             target = stage.add_engine()
             await stage.settle()
-            source.streams.mute = True
+            source.stream_faults.withhold_events = True
         assert answers[0].content == whole('r1', LONG // STRIDE)
         assert count_runs(stage, 'r1') == 1
         assert target.resumed_by_request['r1'] == 1
@@ -162,11 +162,11 @@
 async def test_generation_whose_engine_dies_before_its_head_goes_on() -> None:
     async with open_platform(engines=2) as stage:
         for each in stage.engines:
-            each.streams.headless = True
+            each.stream_faults.withhold_headers = True
         async with draft_meanwhile(stage, 'r1', LONG) as answers:
             source = await find_runner(stage, 'r1')
             for each in stage.engines:
-                each.streams.headless = False
+                each.stream_faults.withhold_headers = False
             source.die()
         assert answers[0].content == whole('r1', LONG // STRIDE)
         assert count_runs(stage, 'r1') == 1
@@ -174,7 +174,7 @@
 
 async def test_request_that_its_engine_forgot_is_not_waited_for() -> None:
     async with open_platform(engines=1) as stage:
-        stage.engines[0].streams.vanish = True
+        stage.engines[0].stream_faults.lose_requests = True
         with trio.fail_after(NOTICED_SECONDS):
             answer = await draft(stage, 'r1')
         # It may have run: nothing is promised, and nobody runs it again.
@@ -185,11 +185,11 @@
 async def test_request_that_may_repeat_runs_where_it_is_not_forgotten() -> None:
     async with open_platform(engines=2) as stage:
         for each in stage.engines:
-            each.streams.vanish = True
+            each.stream_faults.lose_requests = True
         async with draft_meanwhile(stage, 'r1', SHORT, '/tag/a') as answers:
             await until(lambda: count_runs(stage, 'r1'))
             for each in stage.engines:
-                each.streams.vanish = False
+                each.stream_faults.lose_requests = False
         assert answers[0].content == whole('r1', SHORT // STRIDE)
         assert count_runs(stage, 'r1') == 2
 
@@ -197,10 +197,10 @@
 async def test_request_that_runs_without_a_head_is_waited_for() -> None:
     async with open_platform(engines=1) as stage:
         engine = stage.engines[0]
-        engine.streams.headless = True
+        engine.stream_faults.withhold_headers = True
         async with draft_meanwhile(stage, 'r1', LONG) as answers:
             await until(lambda: engine.reports_asked > 3)
-            engine.streams.headless = False
+            engine.stream_faults.withhold_headers = False
         assert answers[0].content == whole('r1', LONG // STRIDE)
 
 
@@ -221,7 +221,7 @@
         await until(lambda: not mover.list_generations())
         source.copy_gate.set()
         await until(lambda: target.copies_freed)
-        assert target.copies_taken == 1
+        assert target.copies_received == 1
         assert not target.memory.events_by_handle
 
 
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -208,7 +208,7 @@
 async def test_a_request_that_waits_at_an_engine_is_taken_back() -> None:
     async with open_platform(engines=1, proxied=True) as stage:
         engine = stage.engines[0]
-        engine.streams.headless = True
+        engine.stream_faults.withhold_headers = True
         answers: list[httpx.Response | None] = []
 
         async def ask() -> None:
--- a/tests/test_resumable.py
+++ b/tests/test_resumable.py
@@ -40,7 +40,7 @@
             source = await find_runner(stage, 'r1')
             stage.add_engine()
             await stage.settle()
-            source.streams.tear = True
+            source.stream_faults.cut_inside_event = True
             source.die()
         answer = answers[0]
         assert answer.content == whole('r1', LONG // STRIDE)
