--- a/src/cartdale_standins/platform_store.py
+++ b/src/cartdale_standins/platform_store.py
@@ -87,12 +87,12 @@
         """Remove a key as the platform does."""
         self.state.transact((), (Delete(key),))
 
-    def forget(self) -> None:
+    def compact(self) -> None:
         """Drop the history of changes."""
         self._forgotten = self.state.revision
         self.state.history.clear()
 
-    def go_back(self, copy: KeyValueState) -> None:
+    def restore(self, copy: KeyValueState) -> None:
         """Come back from a copy: what was written since is gone, leases too."""
         self.state = copy
         self.era += 1
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -44,8 +44,8 @@
         default_factory=lambda: KeyValueState(SystemClock())
     )
     down: bool = False
-    lose: float = 0
-    slowest: Millis = 50
+    loss_probability: float = 0
+    max_delay: Millis = 50
 
     async def fetch(
         self, prefix: str, start: str = '', limit: int = 0
@@ -110,7 +110,7 @@
         return Success(False)
 
     async def _delay(self) -> None:
-        await trio.sleep(as_seconds(self.generator.randrange(self.slowest)))
+        await trio.sleep(as_seconds(self.generator.randrange(self.max_delay)))
 
     def _loses(self) -> bool:
-        return self.generator.random() < self.lose
+        return self.generator.random() < self.loss_probability
--- a/tests/fault_soak/faults.py
+++ b/tests/fault_soak/faults.py
@@ -105,7 +105,7 @@
                 self._soak.nursery.start_soon(self._store_faults, lasts)
             case 'store forgets':
                 self._soak.store_disturbed_at = trio.current_time()
-                self._soak.store.forget()
+                self._soak.store.compact()
 
     def _touch_upstreams(self, fault: str, lasts: float) -> None:
         match fault:
--- a/tests/fault_soak/restoring.py
+++ b/tests/fault_soak/restoring.py
@@ -25,7 +25,7 @@
     soak.store.faults = PlatformStoreFaults(busy=True)
     await trio.sleep(_AWAY_SECONDS)
     evacuated = set(soak.evacuated_since)
-    soak.store.go_back(copy)
+    soak.store.restore(copy)
     soak.store.faults = PlatformStoreFaults()
     for upstream in tuple(soak.upstreams):
         soak.nursery.start_soon(_write_again, soak, upstream)
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -156,9 +156,9 @@
                 self.store.down = False
                 self.good_since = trio.current_time()
             elif chance < 0.6:
-                self.store.lose = self.random.choice((0, 0.2, 0.5))
+                self.store.loss_probability = self.random.choice((0, 0.2, 0.5))
             elif chance < 0.7:
-                self.store.slowest = self.random.choice((50, 2000))
+                self.store.max_delay = self.random.choice((50, 2000))
             elif chance < 0.8:
                 await self.random.choice(self.nodes).owner.hand_over()
             else:
@@ -237,7 +237,7 @@
                     f'{node.name} has {state.revision} of {revision} at '
                     f'{trio.current_time():.1f}, paused until '
                     f'{node.paused_until:.1f}, store back at '
-                    f'{self.good_since:.1f}, slowest {self.store.slowest}'
+                    f'{self.good_since:.1f}, slowest {self.store.max_delay}'
                 )
 
     async def call(self) -> None:
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -15,7 +15,7 @@
 
 
 def make_store() -> FakeStore:
-    return FakeStore(Random(1), slowest=1)
+    return FakeStore(Random(1), max_delay=1)
 
 
 def make_owner(store: FakeStore, name: str) -> SlotOwner:
--- a/tests/test_platform_path.py
+++ b/tests/test_platform_path.py
@@ -185,7 +185,7 @@
 async def test_history_that_is_lost_is_read_anew() -> None:
     async with open_platform() as stage:
         stage.store.put('op/config', make_configuration(version=2))
-        stage.store.forget()
+        stage.store.compact()
         await stage.settle(version=2)
 
 
--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -73,7 +73,7 @@
         copy = stage.store.state.copy()
         stage.store.put('op/one', {})
         listing = (await store.fetch('')).unwrap()
-        stage.store.go_back(copy)
+        stage.store.restore(copy)
         for number in range(3):
             stage.store.put(f'op/other-{number}', {})
         after = listing.store_revision
@@ -102,7 +102,7 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(watch)
             await trio.sleep(0.1)
-            stage.store.go_back(copy)
+            stage.store.restore(copy)
             stage.store.put('op/one', {})
         assert answers == [Failure(HistoryLost())]
 
@@ -112,7 +112,7 @@
         store, other = open_store(stage), open_store(stage)
         copy = stage.store.state.copy()
         lease = (await store.grant(9000)).unwrap()
-        stage.store.go_back(copy)
+        stage.store.restore(copy)
         assert (await other.grant(9000)).unwrap() == lease
         assert await store.keep_alive(lease) == Failure(LeaseLost(lease))
         # Not ended either: it is the other's.
@@ -126,7 +126,7 @@
         copy = stage.store.state.copy()
         stage.store.put('op/one', {})
         entry = (await store.fetch('op/one')).unwrap().entries[0]
-        stage.store.go_back(copy)
+        stage.store.restore(copy)
         stage.store.put('op/one', {'other': 1})
         await store.fetch('')
         compare = Compare('op/one', entry.mod_revision)
@@ -141,7 +141,7 @@
         copy = stage.store.state.copy()
         stage.store.put('op/config', make_configuration(2))
         await stage.settle(2)
-        stage.store.go_back(copy)
+        stage.store.restore(copy)
         # One that starts now reads the older one, and hears of the newer.
         late = stage.add_instance()
         with trio.fail_after(2):
@@ -169,7 +169,7 @@
             stage.store.remove(name)
         bare = stage.store.state.copy()
         stage.store.state = empty
-        stage.store.go_back(bare)
+        stage.store.restore(bare)
         with trio.fail_after(6):
             await until(
                 lambda: all(bare.find(name) is not None for name in names)
@@ -188,7 +188,7 @@
         await until(lambda: is_leaving(fleet.state, 'plain-0'))
         stage.store.faults = PlatformStoreFaults(busy=True)
         await trio.sleep(0.2)
-        stage.store.go_back(copy)
+        stage.store.restore(copy)
         stage.store.faults = PlatformStoreFaults()
         before = len(stage.plains[0].arrivals)
         with trio.move_on_after(3):
@@ -212,7 +212,7 @@
         address = fleet.find('plain-0').entry.address
         stage.list_upstream('late', 'portal', address, born=5)
         await until(lambda: fleet.find('late') is not None)
-        stage.store.go_back(copy)
+        stage.store.restore(copy)
         await until(
             lambda: fleet.find('late').lifecycle is Lifecycle.LAPSED,
         )
@@ -255,11 +255,11 @@
         copy = stage.store.state.copy()
         stage.store.put('op/evacuate/west', {})
         await until(lambda: fleet.list_evacuated() == ('west',))
-        stage.store.go_back(copy)
+        stage.store.restore(copy)
         for _ in range(3):
             await trio.sleep(0.5)
             stage.store.put('op/other', {})
-            stage.store.forget()
+            stage.store.compact()
             assert fleet.list_evacuated() == ('west',)
         with trio.fail_after(7):
             await until(lambda: not fleet.list_evacuated())
--- a/tests/test_upstream_lives.py
+++ b/tests/test_upstream_lives.py
@@ -186,7 +186,7 @@
         runtime = stage.runtimes[0]
         stage.store.put('servers/other', {'service': 'writers'})
         stage.store.put('servers/engine-0', {**STORED, 'state': 'retired'})
-        stage.store.forget()
+        stage.store.compact()
         stage.store.put('servers/engine-1', {'service': 'writers'})
         stage.add_engine()
         await until(lambda: runtime.fleet.find('engine-2') is not None)
