--- a/src/cartdale_standins/platform_worker.py
+++ b/src/cartdale_standins/platform_worker.py
@@ -66,7 +66,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
+class RecordedRequest:
     """Hold what became of a request here, and when.
 
     :param at: seconds of the loop's clock.
@@ -97,13 +97,13 @@
         #: Requests a second that all answers name as the limit for all
         #: instances, as the header says it; empty for not to name one.
         self.limit = ''
-        self.arrivals: list[Seen] = []
+        self.arrivals: list[RecordedRequest] = []
         #: Requests that were turned away with a rest asked for.
-        self.rests_asked: list[Seen] = []
+        self.backoff_requests: list[RecordedRequest] = []
         #: Requests whose answers said that this upstream leaves.
-        self.told_leaving: list[Seen] = []
+        self.leaving_announcements: list[RecordedRequest] = []
         #: Requests whose answers named a limit.
-        self.told_limit: list[Seen] = []
+        self.limit_announcements: list[RecordedRequest] = []
         self.runs_by_request: Counter[str] = Counter()
         self.heads: list[dict[str, str]] = []
         self.bodies: list[bytes] = []
@@ -159,10 +159,10 @@
     async def _add_notices(self, response: Response) -> Response:
         if self.leaving:
             response.headers['Server-Leaving'] = '1'
-            self.told_leaving.append(_see())
+            self.leaving_announcements.append(_see())
         if self.limit:
             response.headers['Server-Limit'] = self.limit
-            self.told_limit.append(_see(limit=self.limit))
+            self.limit_announcements.append(_see(limit=self.limit))
         return response
 
     async def _run(self, path: str) -> Response:
@@ -196,7 +196,7 @@
             return Response(status=HTTPStatus.MISDIRECTED_REQUEST.value)
         if self._spend('rejections'):
             if self.faults.retry_after:
-                self.rests_asked.append(_see(self.faults.retry_after))
+                self.backoff_requests.append(_see(self.faults.retry_after))
             return reject(self.faults.retry_after)
         return None
 
@@ -227,9 +227,9 @@
     return response
 
 
-def _see(retry_after: str = '', limit: str = '') -> Seen:
+def _see(retry_after: str = '', limit: str = '') -> RecordedRequest:
     name = request.headers.get('Request-Id', '')
-    return Seen(name, trio.current_time(), retry_after, limit)
+    return RecordedRequest(name, trio.current_time(), retry_after, limit)
 
 
 async def read_body() -> bytes:
--- a/tests/callers.py
+++ b/tests/callers.py
@@ -32,7 +32,7 @@
     }
 
 
-def expect(prompt: str, length: int, seed: int = 7) -> list[str]:
+def expected_tokens(prompt: str, length: int, seed: int = 7) -> list[str]:
     return [make_token(prompt, seed, offset) for offset in range(length)]
 
 
--- a/tests/fault_soak/limits.py
+++ b/tests/fault_soak/limits.py
@@ -163,7 +163,7 @@
         worker = limited.upstream.worker
         told = [
             seen.at
-            for seen in worker.told_limit
+            for seen in worker.limit_announcements
             if limited.since <= seen.at <= limited.until
         ]
         if not told:
@@ -237,8 +237,8 @@
             upstream.drained_at or 0,
             upstream.evacuated_at + EVACUATED_SECONDS,
             *worker.crashes.crashed_at,
-            *(seen.at for seen in worker.rests_asked),
-            *(seen.at for seen in worker.told_leaving),
+            *(seen.at for seen in worker.backoff_requests),
+            *(seen.at for seen in worker.leaving_announcements),
         ]
         # A store that came back older may have kept an evacuation that had
         # ended; it holds until the operator ends it again.
--- a/tests/fault_soak/notices.py
+++ b/tests/fault_soak/notices.py
@@ -5,7 +5,7 @@
 import trio
 
 from cartdale_standins.platform_engine import PlatformEngine
-from cartdale_standins.platform_worker import PlatformWorker, Seen
+from cartdale_standins.platform_worker import PlatformWorker, RecordedRequest
 from tests.fault_soak.checks import (
     DRAIN_SECONDS,
     ON_ITS_WAY_SECONDS,
@@ -67,11 +67,11 @@
             for seen in upstream.worker.arrivals
             if seen.request_id in asked_by_name
         ]
-        for seen in upstream.worker.told_leaving:
+        for seen in upstream.worker.leaving_announcements:
             told = asked_by_name.get(seen.request_id)
             if told is not None and told.status:
                 _check_told(soak, upstream, arrivals, told, seen.at)
-        for seen in upstream.worker.rests_asked:
+        for seen in upstream.worker.backoff_requests:
             asked = asked_by_name.get(seen.request_id)
             if asked is not None:
                 _check_rest(soak, upstream, arrivals, asked, seen)
@@ -98,7 +98,11 @@
 
 
 def _check_rest(
-    soak: Any, upstream: Upstream, arrivals: Arrivals, asked: Asked, seen: Seen
+    soak: Any,
+    upstream: Upstream,
+    arrivals: Arrivals,
+    asked: Asked,
+    seen: RecordedRequest,
 ) -> None:
     try:
         ends_at = seen.at + float(seen.retry_after)
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -4,7 +4,13 @@
 
 import trio
 
-from tests.callers import Received, expect, make_body, stream, wait_tokens
+from tests.callers import (
+    Received,
+    expected_tokens,
+    make_body,
+    stream,
+    wait_tokens,
+)
 from tests.stage import Stage, open_stage
 
 LONG = 'A long draft [length=2500]'
@@ -28,7 +34,7 @@
             served = await stream(stage, 1, make_body(SHORT))
             assert served.done
         assert got.done
-        assert got.tokens == expect(LONG, 2500)
+        assert got.tokens == expected_tokens(LONG, 2500)
 
 
 async def test_idle_connections_do_not_hold_up_a_stop(
@@ -77,7 +83,7 @@
             after = len(stage.engines[busy].started_by_generation)
             assert after == before
         assert got.done
-        assert got.tokens == expect(LONG, 2500)
+        assert got.tokens == expected_tokens(LONG, 2500)
 
 
 async def test_a_lost_placer_is_replaced(tmp_path: Path) -> None:
@@ -96,7 +102,7 @@
         survivor = (placer + 1) % 3
         got = await stream(stage, survivor, make_body(SHORT))
         assert got.done
-        assert got.tokens == expect(SHORT, 5)
+        assert got.tokens == expected_tokens(SHORT, 5)
 
 
 async def drain_engine(stage: Stage, name: str) -> None:
--- a/tests/test_orders_feature.py
+++ b/tests/test_orders_feature.py
@@ -8,7 +8,7 @@
 
 from cartdale.ledger.keys import slot_of
 from cartdale.ledger.types import SLOTS
-from tests.callers import expect, make_body, stream
+from tests.callers import expected_tokens, make_body, stream
 from tests.conftest import World
 from tests.stage import CALLER_KEY
 
@@ -185,7 +185,7 @@
 @then('both drafts are one generation')
 def check_one_generation(world: World) -> None:
     first, second = world.found['responses']
-    assert first.tokens == second.tokens == expect(DRAFT, 60)
+    assert first.tokens == second.tokens == expected_tokens(DRAFT, 60)
     assert first.generations == second.generations
     started = world.stage.engines[0].started_by_generation
     assert list(started.values()) == [1]
--- a/tests/test_quarantine_own.py
+++ b/tests/test_quarantine_own.py
@@ -5,7 +5,7 @@
 
 import trio
 
-from tests.callers import Received, expect, make_body, stream
+from tests.callers import Received, expected_tokens, make_body, stream
 from tests.fault_soak.proxy import FaultProxy, LinkState
 from tests.stage import CALLER_KEY, Stage, open_stage
 
@@ -48,7 +48,7 @@
         assert answers[-1].problem['type'] == NOT_RUN
         assert 'upstreams ended' in answers[-1].problem['detail']
         sound = await stream(stage, 0, make_body(SOUND))
-        assert sound.tokens == expect(SOUND, 40)
+        assert sound.tokens == expected_tokens(SOUND, 40)
 
 
 async def test_where_nothing_repeats_each_submission_ends_one(
--- a/tests/test_rests.py
+++ b/tests/test_rests.py
@@ -61,7 +61,7 @@
 
 def count_in_rest(worker, rest: float) -> int:
     """Return how many requests came in the rest that was asked for first."""
-    began = worker.rests_asked[0].at
+    began = worker.backoff_requests[0].at
     return sum(
         began + ON_ITS_WAY <= arrival.at < began + rest
         for arrival in worker.arrivals
@@ -78,7 +78,7 @@
             for number in range(1000):
                 answer = await ask(stage, f'r-{number}')
                 assert answer.status_code == 503
-                ends_at = plain.rests_asked[0].at + REST
+                ends_at = plain.backoff_requests[0].at + REST
                 left = ends_at - trio.current_time()
                 waits.append(float(answer.headers['Retry-After']) - left)
                 await trio.sleep(0.05)
@@ -93,7 +93,7 @@
         resting = stage.plains[0]
         resting.faults.rejections, resting.faults.retry_after = 1, '0.8'
         numbers = iter(range(10**6))
-        while not resting.rests_asked:
+        while not resting.backoff_requests:
             answer = await ask(stage, f'before-{next(numbers)}')
             assert answer.status_code == 200
         with trio.move_on_after(0.7):
--- a/tests/test_streams_end_to_end.py
+++ b/tests/test_streams_end_to_end.py
@@ -6,7 +6,13 @@
 import trio
 
 from cartdale_standins.engine import EngineFaults
-from tests.callers import Received, expect, make_body, stream, wait_tokens
+from tests.callers import (
+    Received,
+    expected_tokens,
+    make_body,
+    stream,
+    wait_tokens,
+)
 from tests.stage import CALLER_KEY, OTHER_KEY, open_stage
 
 LONG = 'A long draft [length=400]'
@@ -17,7 +23,7 @@
         await stage.settle(stage.declare())
         got = await stream(stage, 0, make_body(LONG))
         assert got.done
-        assert got.tokens == expect(LONG, 400)
+        assert got.tokens == expected_tokens(LONG, 400)
         assert len(got.generations) == 1
 
 
@@ -39,7 +45,7 @@
         stage.kill(0)
         got = await stream(stage, 1, make_body(LONG), received=got)
         assert got.done
-        assert got.tokens == expect(LONG, 400)
+        assert got.tokens == expected_tokens(LONG, 400)
         assert len(got.generations) == 1
         started = stage.engines[0].started_by_generation
         assert list(started.values()) == [1]
@@ -71,7 +77,7 @@
             await trio.sleep(0.1)
             stage.engines[0].faults = EngineFaults()
         assert got.done
-        assert got.tokens == expect(LONG, 400)
+        assert got.tokens == expected_tokens(LONG, 400)
 
 
 async def test_a_restarted_engine_is_replaced_when_the_prefix_agrees(
@@ -85,7 +91,7 @@
             await wait_tokens(got, 20)
             _forget(stage)
         assert got.done
-        assert got.tokens == expect(LONG, 400)
+        assert got.tokens == expected_tokens(LONG, 400)
         assert len(got.generations) == 2
 
 
@@ -101,7 +107,7 @@
             _forget(stage)
         assert not got.done
         assert got.problem['type'] == 'urn:cartdale:problem:ended-early'
-        assert got.tokens == expect(LONG, 400)[: len(got.tokens)]
+        assert got.tokens == expected_tokens(LONG, 400)[: len(got.tokens)]
         started = sum(
             len(engine.started_by_generation) for engine in stage.engines
         )
@@ -130,8 +136,8 @@
             return streamed, whole.choices[0].text
 
         streamed, whole = await trio.to_thread.run_sync(call)
-        assert streamed == ''.join(expect('user: Hi [length=12]', 12))
-        assert whole == ''.join(expect('Hi [length=12]', 12))
+        assert streamed == ''.join(expected_tokens('user: Hi [length=12]', 12))
+        assert whole == ''.join(expected_tokens('Hi [length=12]', 12))
 
 
 async def _follow(stage, got: Received) -> None:
--- a/tests/test_upstream_limits.py
+++ b/tests/test_upstream_limits.py
@@ -67,8 +67,8 @@
         async with trio.open_nursery() as nursery:
             for instance, _ in enumerate(stage.runtimes):
                 nursery.start_soon(crowd, stage, instance)
-            await until(lambda: plain.told_limit)
-            first = plain.told_limit[0].at
+            await until(lambda: plain.limit_announcements)
+            first = plain.limit_announcements[0].at
             await trio.sleep_until(first + CONTACT + WINDOW)
             nursery.cancel_scope.cancel()
         most = most_in_window(plain, first + CONTACT)
