--- a/src/cartdale/news/__init__.py
+++ b/src/cartdale/news/__init__.py
@@ -1,1 +1,1 @@
-"""News: what instances tell each other in datagrams."""
+"""News: datagrams in which instances publish their state to peers."""
--- a/src/cartdale/news/datagrams.py
+++ b/src/cartdale/news/datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams of news over UDP."""
+"""UDP transport for news datagrams."""
 
 import socket
 
@@ -12,7 +12,7 @@
 class SocketDatagrams:
     """Exchange datagrams over one bound socket.
 
-    :param bound: where peers send to.
+    :param bound: socket whose address peers send to.
     """
 
     def __init__(self, bound: socket.socket) -> None:
@@ -21,16 +21,18 @@
         self._reader = trio.socket.from_stdlib_socket(bound)
 
     def send(self, raw: bytes, peer: PeerEntry) -> None:
-        """Send a message without waiting.
+        """Send a message without blocking.
 
-        :raises OSError: when it can't be sent now; a full buffer included.
+        :raises OSError: if it can't be sent now, for example because the send
+            buffer is full.
         """
         self._bound.sendto(raw, (peer.address, peer.port))
 
     async def receive(self) -> bytes:
         """Wait for a message.
 
-        :raises OSError: when the network told of a failed one instead.
+        :raises OSError: if the network reports the failure of an earlier send
+            instead.
         """
         raw, _ = await self._reader.recvfrom(_LARGEST_DATAGRAM)
         return raw
--- a/src/cartdale/news/decide.py
+++ b/src/cartdale/news/decide.py
@@ -1,4 +1,4 @@
-"""Decide what to take from the news of other instances."""
+"""State machine that applies the news received from other instances."""
 
 from collections.abc import Iterable
 from dataclasses import replace
@@ -31,23 +31,24 @@
 )
 from cartdale.quarantine.types import CrashesTold
 
-#: A peer counts as alive for so long after its last message.
+#: Time after its last message for which a peer counts as alive.
 ALIVE_MS: Millis = 3 * SECOND_MS
-#: Under which name the loads of a whole failure domain are kept.
+#: Prefix of the sender name under which the load table keeps the loads of a
+#: whole failure domain.
 DOMAIN_PREFIX = 'domain/'
-#: At least so many instances must fail to reach an upstream before the others
-#: avoid it.
+#: Minimum number of instances that must fail to reach an upstream before the
+#: others avoid it.
 MIN_REPORTERS = 2
 
 
 def decide(
     state: NewsState, message: Message, now: Millis, version: int
 ) -> Decision:
-    """Take one message.
+    """Apply one message.
 
     :param now: monotonic milliseconds.
-    :param version: configuration in force here.
-    :returns: the next state, and what to take over.
+    :param version: version of the configuration in force on this instance.
+    :returns: the next state, and the actions to perform.
     """
     match message:
         case PeerListed(peer=peer):
@@ -57,29 +58,32 @@
         case PeerRemoved(name=name):
             return _remove(state, name), ()
         case NewsArrived():
-            return _hear(state, message, now, version)
+            return _apply_news(state, message, now, version)
         case DomainNewsArrived():
-            return _hear_domain(state, message, now, version)
+            return _apply_domain_news(state, message, now, version)
         case _:
             assert_never(message)
 
 
 def is_silent(state: NewsState, now: Millis) -> bool:
-    """Tell whether peers were heard before, and none of them of late."""
-    heard_at = [heard.at for heard in state.received_by_name.values()]
-    heard_at.extend(heard.at for heard in state.domains_by_name.values())
-    return bool(heard_at) and now - max(heard_at) > SILENT_MS
+    """Return whether peers sent news before, but none of them recently."""
+    received_at = [received.at for received in state.received_by_name.values()]
+    received_at.extend(
+        received.at for received in state.domains_by_name.values()
+    )
+    return bool(received_at) and now - max(received_at) > SILENT_MS
 
 
 def count_alive(state: NewsState, now: Millis) -> int:
-    """Return how many peers were heard of late, or told about."""
+    """Return the number of live peers, by direct and by domain news."""
     direct = sum(
-        now - heard.at <= ALIVE_MS for heard in state.received_by_name.values()
+        now - received.at <= ALIVE_MS
+        for received in state.received_by_name.values()
     )
     by_domain = sum(
-        heard.news.alive
-        for heard in state.domains_by_name.values()
-        if now - heard.at <= ALIVE_MS
+        received.news.alive
+        for received in state.domains_by_name.values()
+        if now - received.at <= ALIVE_MS
     )
     return direct + by_domain
 
@@ -91,20 +95,20 @@
     *,
     own_domain_only: bool = False,
 ) -> int:
-    """Return how many instances reported of late that they can't reach it.
+    """Return how many instances recently reported an upstream unreachable.
 
-    :param own_domain_only: leave other failure domains out.
+    :param own_domain_only: exclude other failure domains.
     """
     direct = sum(
-        upstream in heard.news.unreachable and now - heard.at <= SILENT_MS
-        for heard in state.received_by_name.values()
+        upstream in received.news.unreachable and now - received.at <= SILENT_MS
+        for received in state.received_by_name.values()
     )
     if own_domain_only:
         return direct
     by_domain = sum(
-        heard.news.reporters_by_upstream.get(upstream, 0)
-        for heard in state.domains_by_name.values()
-        if now - heard.at <= SILENT_MS
+        received.news.reporters_by_upstream.get(upstream, 0)
+        for received in state.domains_by_name.values()
+        if now - received.at <= SILENT_MS
     )
     return direct + by_domain
 
@@ -112,11 +116,11 @@
 def list_holders(
     state: NewsState, version: int, now: Millis
 ) -> list[PeerEntry]:
-    """Return the peers heard of late that have a newer configuration."""
+    """Return recently active peers that have a newer configuration."""
     return [
-        heard.news.peer
-        for heard in state.received_by_name.values()
-        if now - heard.at <= ALIVE_MS and heard.news.version > version
+        received.news.peer
+        for received in state.received_by_name.values()
+        if now - received.at <= ALIVE_MS and received.news.version > version
     ]
 
 
@@ -126,7 +130,7 @@
     return replace(state, peers_by_name=peers_by_name)
 
 
-def _hear(
+def _apply_news(
     state: NewsState, message: NewsArrived, now: Millis, version: int
 ) -> Decision:
     known = state.received_by_name.get(message.sender)
@@ -140,14 +144,17 @@
     after = replace(
         state, peers_by_name=peers_by_name, received_by_name=received_by_name
     )
-    actions = (*_take_over(message.sender, news), *_fetch(news, version))
-    return after, (*actions, *_avoid(after, news.unreachable, now))
+    actions = (
+        *_list_actions(message.sender, news),
+        *_fetch_newer(news, version),
+    )
+    return after, (*actions, *_avoid_unreachable(after, news.unreachable, now))
 
 
-def _hear_domain(
+def _apply_domain_news(
     state: NewsState, message: DomainNewsArrived, now: Millis, version: int
 ) -> Decision:
-    """Take news about a failure domain; their sender may change."""
+    """Apply news of a failure domain, whose publisher may change."""
     news = message.news
     domain = news.peer.failure_domain
     known = state.domains_by_name.get(domain)
@@ -160,34 +167,43 @@
     domains_by_name = dict(state.domains_by_name)
     domains_by_name[domain] = ReceivedDomainNews(news, now)
     after = replace(state, domains_by_name=domains_by_name)
-    actions = _take_over(f'{DOMAIN_PREFIX}{domain}', news)
+    actions = _list_actions(f'{DOMAIN_PREFIX}{domain}', news)
     if message.direct:
-        # The others fetch a newer configuration from this one, once it is in
-        # force here: a document crosses to each failure domain once.
-        actions = (ForwardNews(), *actions, *_fetch(news, version))
-    return after, (*actions, *_avoid(after, news.reporters_by_upstream, now))
+        # The other instances of this domain fetch a newer configuration from
+        # this instance once it is in force here, so each document is
+        # transferred to a failure domain only once.
+        actions = (ForwardNews(), *actions, *_fetch_newer(news, version))
+    return after, (
+        *actions,
+        *_avoid_unreachable(after, news.reporters_by_upstream, now),
+    )
 
 
 def _is_newer(
     news: LoadNews | DomainNews, known: LoadNews | DomainNews
 ) -> bool:
-    """Tell whether a message was sent after another of the same sender."""
+    """Return whether a message was sent after another of the same sender."""
     return (news.boot, news.number) > (known.boot, known.number)
 
 
-def _avoid(
-    state: NewsState, told: Iterable[str], now: Millis
+def _avoid_unreachable(
+    state: NewsState, unreachable: Iterable[str], now: Millis
 ) -> tuple[Action, ...]:
-    """Avoid what several can't reach; one alone may be cut off itself."""
+    """Avoid upstreams that several instances can't reach.
+
+    A single instance that can't reach an upstream may itself be cut off.
+    """
     return tuple(
         AvoidUpstream(upstream)
-        for upstream in told
+        for upstream in unreachable
         if count_reporters(state, upstream, now) >= MIN_REPORTERS
     )
 
 
-def _take_over(teller: str, news: LoadNews | DomainNews) -> tuple[Action, ...]:
-    actions: list[Action] = [ApplyLoads(teller, news.loads_by_upstream)]
+def _list_actions(
+    sender: str, news: LoadNews | DomainNews
+) -> tuple[Action, ...]:
+    actions: list[Action] = [ApplyLoads(sender, news.loads_by_upstream)]
     actions.extend(ApplyEntry(entry) for entry in news.entries)
     actions.extend(
         ApplyLeaving(
@@ -207,6 +223,8 @@
     return tuple(actions)
 
 
-def _fetch(news: LoadNews | DomainNews, version: int) -> tuple[Action, ...]:
-    """Fetch a configuration that is newer than the one in force here."""
+def _fetch_newer(
+    news: LoadNews | DomainNews, version: int
+) -> tuple[Action, ...]:
+    """Fetch the sender's configuration if it is newer than the local one."""
     return (FetchTable(news.peer),) if news.version > version else ()
--- a/src/cartdale/news/domain_publisher.py
+++ b/src/cartdale/news/domain_publisher.py
@@ -1,4 +1,4 @@
-"""Tell other failure domains what the instances of this one have and know."""
+"""Publish the state of this failure domain to the other failure domains."""
 
 from collections.abc import Callable
 from dataclasses import replace
@@ -15,38 +15,38 @@
 from cartdale.news.writing import NewsWriter
 from cartdale.peers.authentication import Authenticator
 
-#: Between two messages at the least, however urgent.
-_URGENT_EVERY: Millis = 20
-#: Between two messages when something changed: each goes to one instance of
-#: each other domain, which passes it on.
-_CHANGED_EVERY: Millis = 100
-#: Between two messages when nothing is new.
-_UNCHANGED_EVERY: Millis = 400
+#: Minimum time between two messages, however urgent the change.
+_MIN_INTERVAL: Millis = 20
+#: Time between two messages after a change. Each message goes to one instance
+#: of each other domain, which forwards it within that domain.
+_CHANGED_INTERVAL: Millis = 100
+#: Time between two messages without a change.
+_UNCHANGED_INTERVAL: Millis = 400
 
 
 class NewsChannel(Protocol):
-    """Tell what was heard, and send."""
+    """Give access to the news received, and send messages."""
 
     state: NewsState
     authenticator: Authenticator | None
 
     @property
     def own(self) -> PeerEntry:
-        """Return how this instance is reached."""
+        """Return the entry by which peers reach this instance."""
 
     def list_recipients(self) -> list[PeerEntry]:
-        """Return the peers to which this instance tells its news."""
+        """Return the peers to which this instance sends its news."""
 
     def send_to(self, signed: bytes, peer: PeerEntry) -> None:
         """Send a message to a peer; it may be lost."""
 
 
 class DomainPublisher:
-    """Speak for a failure domain, while that is this instance's duty.
+    """Publish news of the failure domain while this instance has that role.
 
-    :param news: what this instance heard.
-    :param writer: writes messages from what this instance's fleet holds.
-    :param store_lost: tells whether the store does not answer here.
+    :param news: channel that holds the news received here.
+    :param writer: writes messages from the state of this instance's fleet.
+    :param store_lost: returns whether the store is unreachable from here.
     """
 
     def __init__(
@@ -62,13 +62,13 @@
         self._fleet = fleet
         self._clock = clock
         self._store_lost = store_lost
-        #: What was urgent when this instance last considered to speak.
-        self._spoken_of = (0, 0, 0)
+        #: Versions of the urgent state at the last wake-up.
+        self._urgent_versions = (0, 0, 0)
 
     async def run(self) -> None:
-        """Speak while that is the duty here, for ever."""
-        told = None
-        told_at: Millis = 0
+        """Publish while this instance has the role; runs until cancelled."""
+        published = None
+        published_at: Millis = 0
         turn = 0
         while True:
             await self._pause()
@@ -77,12 +77,15 @@
                 self._news.state, self._news.own, now
             ):
                 continue
-            # A limit that changed is among the lifecycles.
-            news, urgent = self._describe(now), self._spoken_of
-            if (news, urgent) == told and now - told_at < _UNCHANGED_EVERY:
+            # A change of a limit also counts in `lifecycles`.
+            news, urgent = self._describe(now), self._urgent_versions
+            if (
+                news,
+                urgent,
+            ) == published and now - published_at < _UNCHANGED_INTERVAL:
                 continue
-            told, told_at = (news, urgent), now
-            news = self._add_aged(news, now)
+            published, published_at = (news, urgent), now
+            news = self._add_aged_parts(news, now)
             turn += 1
             for peer in choose_domain_recipients(
                 self._news.state, self._news.own, now, turn
@@ -92,35 +95,35 @@
                 )
                 self._news.send_to(signed, peer)
 
-    def _add_aged(self, news: DomainNews, now: Millis) -> DomainNews:
-        """Add what has an age, which changes always."""
+    def _add_aged_parts(self, news: DomainNews, now: Millis) -> DomainNews:
+        """Add the parts that carry an age, which differs in every message."""
         limits = merge_limit_news(
-            self._writer.list_limits(), self._list_around(now), now
+            self._writer.list_limits(), self._list_domain_news(now), now
         )
         crashes = self._fleet.quarantine.list_news()
         return replace(news, crashes=crashes, limits=limits)
 
     async def _pause(self) -> None:
-        """Wait for the next time to speak, or until something is urgent.
+        """Wait until the next message is due or an urgent change occurs.
 
-        An upstream that leaves gives a second or two of notice; who watches
-        the store may be in another failure domain.
+        A leaving upstream announces it only a second or two ahead, and the
+        instance that watches the store may be in another failure domain.
         """
-        await trio.sleep(as_seconds(_URGENT_EVERY))
-        with trio.move_on_after(as_seconds(_CHANGED_EVERY - _URGENT_EVERY)):
-            while self._spoken_of == self._list_urgent():
+        await trio.sleep(as_seconds(_MIN_INTERVAL))
+        with trio.move_on_after(as_seconds(_CHANGED_INTERVAL - _MIN_INTERVAL)):
+            while self._urgent_versions == self._list_urgent_versions():
                 await self._fleet.changed()
-        self._spoken_of = self._list_urgent()
+        self._urgent_versions = self._list_urgent_versions()
 
-    def _list_urgent(self) -> tuple[int, int, int]:
-        """Return what changes with whatever other domains must hear soon."""
+    def _list_urgent_versions(self) -> tuple[int, int, int]:
+        """Return version counters of state that other domains need soon."""
         fleet = self._fleet
         crashes = fleet.quarantine.version
         return fleet.lifecycles, fleet.table.version, crashes
 
     def _describe(self, now: Millis) -> DomainNews:
         names = [peer.name for peer in self._news.list_recipients()]
-        alive = [heard.news for heard in self._list_around(now)]
+        alive = [received.news for received in self._list_domain_news(now)]
         loads_by_upstream = self._fleet.loads.shared_totals(names, now)
         lost = self._store_lost() and all(news.store_lost for news in alive)
         news = self._writer.describe_domain(
@@ -134,8 +137,8 @@
             news, offers=sum_demand((own, *(each.offers for each in alive)))
         )
 
-    def _list_around(self, now: Millis) -> list[ReceivedNews]:
-        """Return what the instances of this domain told of late."""
+    def _list_domain_news(self, now: Millis) -> list[ReceivedNews]:
+        """Return the recent news of the peers in this domain."""
         received_by_name = self._news.state.received_by_name
         return [
             received_by_name[peer.name]
@@ -145,7 +148,7 @@
         ]
 
     def _count_reporters(self, now: Millis) -> dict[str, int]:
-        """Count the instances of this domain that can't reach an upstream."""
+        """Count, by upstream, the instances here that can't reach it."""
         own = self._writer.list_unreachable()
         reporters_by_upstream = {
             upstream: count_reporters(
--- a/src/cartdale/news/driver.py
+++ b/src/cartdale/news/driver.py
@@ -1,4 +1,4 @@
-"""Exchange news with the peers, in datagrams that the cluster's key seals."""
+"""Exchange news with peers, in datagrams signed with the cluster key."""
 
 from collections.abc import Callable
 
@@ -56,23 +56,23 @@
 from cartdale.quarantine.types import CrashesTold
 from cartdale.switches import Mechanism
 
-#: Between two messages when there is something new, in a small system:
-#: changes that come together travel together.
-_CHANGED_EVERY: Millis = 20
-#: Between two messages when nothing is new but the tokens made meanwhile, in
-#: a small system; a large one is told more seldom.
-_UNCHANGED_EVERY: Millis = 400
+#: Minimum time between two messages after a change, in a small system; changes
+#: that occur together are sent together.
+_CHANGED_INTERVAL: Millis = 20
+#: Time between two messages when only token counts changed, in a small system;
+#: a large one sends less often.
+_UNCHANGED_INTERVAL: Millis = 400
 
 Fetch = Callable[[PeerEntry], None]
 
 
 class NewsExchange:
-    """Keep this instance and its peers informed of each other.
+    """Exchange state between this instance and its peers.
 
-    :param own: how this instance is reached.
-    :param fetch_table: asks a peer for its newer configuration.
-    :param store_lost: tells whether the store does not answer here.
-    :param datagrams: carries the messages.
+    :param own: entry by which peers reach this instance.
+    :param fetch_table: requests a newer configuration from a peer.
+    :param store_lost: returns whether the store is unreachable from here.
+    :param datagrams: transport for the messages.
     """
 
     def __init__(
@@ -90,7 +90,7 @@
         self._clock = clock
         self._fetch_table = fetch_table
         self._store_lost = store_lost
-        #: When this exchange began; ``None`` before.
+        #: Time at which this exchange started; ``None`` before.
         self._started_at: Millis | None = None
         self._writer = NewsWriter(
             own, fleet, clock, self.is_watcher, store_lost
@@ -103,13 +103,13 @@
 
     @property
     def own(self) -> PeerEntry:
-        """Return how this instance is reached."""
+        """Return the entry by which peers reach this instance."""
         return self._own
 
     def dispatch(self, message: Message, raw: bytes = b'') -> None:
-        """Take one message and act on what follows from it.
+        """Apply one message and perform the resulting actions.
 
-        :param raw: the message as it came, to be passed on.
+        :param raw: the message as received, for forwarding.
         """
         now = self._clock.now()
         version = self._fleet.table.version
@@ -118,11 +118,11 @@
         for action in actions:
             match action:
                 case ApplyLoads(peer=peer, loads_by_upstream=loads_by_upstream):
-                    self._take_loads(peer, loads_by_upstream)
+                    self._apply_loads(peer, loads_by_upstream)
                 case ApplyEntry(entry=entry):
                     self._fleet.dispatch(EntryWritten(entry, from_peer=True))
                 case ApplyLeaving() | ApplyLimit():
-                    self._take_statement(action)
+                    self._apply_announcement(action)
                 case ApplyEvacuations(evacuations=evacuations):
                     self._fleet.dispatch(EvacuationsReceived(evacuations))
                 case CrashesTold():
@@ -135,37 +135,37 @@
                     self._forward(raw)
 
     def is_watcher(self) -> bool:
-        """Tell whether this instance follows the store for the others."""
+        """Return whether this instance watches the store for the others."""
         now = self._clock.now()
-        patience = find_silence_timeout(self.state, self._own, now)
-        began = self._started_at
-        young = began is None or now - began <= patience
+        timeout = find_silence_timeout(self.state, self._own, now)
+        started_at = self._started_at
+        young = started_at is None or now - started_at <= timeout
         view = StoreView(lost=self._store_lost(), young=young)
         return is_watcher(self.state, self._own, now, view)
 
     def is_prober(self, upstream: str, failure_domain: str) -> bool:
-        """Tell whether this instance asks an upstream for all how it is."""
+        """Return whether this instance polls an upstream for all instances."""
         return is_prober(
             self.state, self._own, upstream, failure_domain, self._clock.now()
         )
 
     def is_silent(self) -> bool:
-        """Tell whether no peer was heard of late."""
+        """Return whether no peer has sent news recently."""
         return is_silent(self.state, self._clock.now())
 
     def uses_domain_summaries(self) -> bool:
-        """Tell whether loads of other domains come as sums, and late."""
+        """Return whether loads of other domains arrive as delayed sums."""
         return is_wide(self.state)
 
-    def fetches_at_once(self, teller: PeerEntry) -> bool:
-        """Tell whether this instance fetches a newer configuration first.
+    def fetches_at_once(self, holder: PeerEntry) -> bool:
+        """Return whether this instance fetches a newer configuration at once.
 
-        Everybody does in a small system; in a large one whoever speaks for
-        its failure domain, or was told by the speaker of another.
+        All instances do in a small system. In a large one, only the domain
+        publisher does, and an instance notified from another failure domain.
         """
         if not is_wide(self.state):
             return True
-        if teller.failure_domain != self._own.failure_domain:
+        if holder.failure_domain != self._own.failure_domain:
             return True
         return is_domain_publisher(self.state, self._own, self._clock.now())
 
@@ -174,13 +174,13 @@
         return 1 + count_alive(self.state, self._clock.now())
 
     def find_limit_participants(self) -> LimitParticipants:
-        """Return who shares the rate limits of upstreams."""
-        offers = self._fleet.limits.measure_demand()
+        """Return the participants that share the rate limits of upstreams."""
+        demand = self._fleet.limits.measure_demand()
         now = self._clock.now()
-        return find_limit_participants(self.state, self._own, offers, now)
+        return find_limit_participants(self.state, self._own, demand, now)
 
     def list_recipients(self) -> list[PeerEntry]:
-        """Return the peers to which this instance tells its news."""
+        """Return the peers to which this instance sends its news."""
         return list_recipients(self.state, self._own, self._clock.now())
 
     def send_to(self, signed: bytes, peer: PeerEntry) -> None:
@@ -188,21 +188,21 @@
         try:
             self._datagrams.send(signed, peer)
         except OSError as error:
-            # A full buffer included: the next message is not far.
+            # Includes a full send buffer; the next message follows soon.
             logger.info(
                 'news not sent', peer=peer.name, detail=format_error(error)
             )
 
     async def run(self) -> None:
-        """Send and receive, for ever."""
+        """Send and receive until cancelled."""
         self._started_at = self._clock.now()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._receive)
             nursery.start_soon(self._send)
             nursery.start_soon(self._domain_publisher.run)
 
-    def _take_statement(self, told: ApplyLeaving | ApplyLimit) -> None:
-        match told:
+    def _apply_announcement(self, action: ApplyLeaving | ApplyLimit) -> None:
+        match action:
             case ApplyLeaving(upstream=name, born=born, announced=True):
                 self._fleet.dispatch(
                     LeavingAnnounced(name, from_peer=True, born=born)
@@ -215,7 +215,7 @@
                 limit = read_limit(news, self._clock.now())
                 self._fleet.dispatch(LimitAdvertised(name, limit, news.born))
 
-    def _take_loads(
+    def _apply_loads(
         self, peer: str, loads_by_upstream: dict[str, Load]
     ) -> None:
         if self._fleet.switches.is_enabled(Mechanism.LOAD_NEWS):
@@ -229,16 +229,16 @@
             except OSError as error:
                 logger.warning('news not received', detail=format_error(error))
                 continue
-            self._take(raw)
+            self._handle_datagram(raw)
 
-    def _take(self, raw: bytes) -> None:
+    def _handle_datagram(self, raw: bytes) -> None:
         if self.authenticator is None:
             return
         envelope = self.authenticator.verify(raw, self._clock.wall_time())
         if envelope is None:
             return
         try:
-            message = _read(envelope, self._own.name)
+            message = _decode_message(envelope, self._own.name)
         except msgspec.MsgspecError as error:
             logger.warning('news not understood', detail=format_error(error))
             return
@@ -246,31 +246,31 @@
             self.dispatch(message, raw)
 
     def _forward(self, raw: bytes) -> None:
-        """Send a message as it came to the instances around."""
+        """Forward a message unchanged to the peers of this failure domain."""
         for peer in self.list_recipients():
             self.send_to(raw, peer)
 
     async def _send(self) -> None:
         while True:
             factor = stretch(len(self.list_recipients()))
-            await trio.sleep(as_seconds(_CHANGED_EVERY * factor))
-            await self._wait_for_news(_UNCHANGED_EVERY * factor)
+            await trio.sleep(as_seconds(_CHANGED_INTERVAL * factor))
+            await self._wait_for_change(_UNCHANGED_INTERVAL * factor)
             if self.authenticator is None:
                 continue
             signed = self._writer.write(self.authenticator)
             for peer in self.list_recipients():
                 self.send_to(signed, peer)
 
-    async def _wait_for_news(self, longest: Millis) -> None:
-        with trio.move_on_after(as_seconds(longest)):
+    async def _wait_for_change(self, max_wait: Millis) -> None:
+        with trio.move_on_after(as_seconds(max_wait)):
             while not self._writer.has_new():
                 await self._fleet.announced()
 
 
-def _read(envelope: Envelope, own: str) -> Message | None:
-    """Decode a message; ``None`` for one of another kind.
+def _decode_message(envelope: Envelope, own: str) -> Message | None:
+    """Decode a message; return ``None`` for an unknown kind.
 
-    :raises msgspec.MsgspecError: when it can't be decoded.
+    :raises msgspec.MsgspecError: if it can't be decoded.
     """
     body = bytes(envelope.body)
     match envelope.kind:
--- a/src/cartdale/news/limits.py
+++ b/src/cartdale/news/limits.py
@@ -1,4 +1,4 @@
-"""Tell peers of rate limits: which were named, and what is asked of whom."""
+"""Share rate limits of upstreams, and the demand on them, among peers."""
 
 from collections.abc import Iterable, Mapping
 
@@ -15,66 +15,66 @@
     ReceivedNews,
 )
 
-#: A message may be on its way for so long. What it tells happened so much
-#: earlier than its ages say.
-_ON_ITS_WAY: Millis = 300
-#: Name of the one group of a small system.
-_EVERYBODY = ''
+#: Maximum transit time of a message. Its contents may be older by this much
+#: than the ages in it say.
+_MAX_TRANSIT: Millis = 300
+#: Name of the only group of a small system.
+_SINGLE_GROUP = ''
 
 
 def write_limit(limit: RateLimit, born: Millis, now: Millis) -> LimitNews:
-    """Return what peers are told of a limit; clocks differ, ages don't."""
+    """Convert a limit for peers; uses ages, since their clocks differ."""
     return LimitNews(
         limit.per_second, now - limit.asked_at, now - limit.answered_at, born
     )
 
 
 def read_limit(news: LimitNews, now: Millis) -> RateLimit:
-    """Return a limit as a peer told it."""
-    asked_at = now - news.asked_ago - _ON_ITS_WAY
+    """Convert a limit that a peer reported."""
+    asked_at = now - news.asked_ago - _MAX_TRANSIT
     return RateLimit(news.per_second, asked_at, now - news.answered_ago)
 
 
 def merge_limit_news(
-    own: Mapping[str, LimitNews], heard: Iterable[ReceivedNews], now: Millis
+    own: Mapping[str, LimitNews], received: Iterable[ReceivedNews], now: Millis
 ) -> dict[str, LimitNews]:
-    """Return what the answers to all of a failure domain named."""
+    """Merge the limits that all instances of a failure domain observed."""
     limits_by_upstream = dict(own)
-    for each in heard:
+    for each in received:
         for upstream, news in each.news.limits.items():
-            named = read_limit(news, each.at)
+            merged = read_limit(news, each.at)
             known = limits_by_upstream.get(upstream)
             if known is not None and known.born >= news.born:
-                named = merge_limits(read_limit(known, now), named)
-            limits_by_upstream[upstream] = write_limit(named, news.born, now)
+                merged = merge_limits(read_limit(known, now), merged)
+            limits_by_upstream[upstream] = write_limit(merged, news.born, now)
     return limits_by_upstream
 
 
 def sum_demand(
-    offers: Iterable[Mapping[str, float]],
+    demand: Iterable[Mapping[str, float]],
 ) -> dict[str, float]:
-    """Return what several offer together, of services that all tell."""
-    listed = list(offers)
-    services = set.intersection(*map(set, listed)) if listed else set()
+    """Return the total demand by service, for services that all report."""
+    demands = list(demand)
+    services = set.intersection(*map(set, demands)) if demands else set()
     return {
-        service: sum(each[service] for each in listed) for service in services
+        service: sum(each[service] for each in demands) for service in services
     }
 
 
 def find_limit_participants(
-    state: NewsState, own: PeerEntry, offers: DemandByService, now: Millis
+    state: NewsState, own: PeerEntry, demand: DemandByService, now: Millis
 ) -> LimitParticipants:
-    """Return who shares the limits of upstreams, and what each offers.
+    """Return who shares the limits of upstreams, and each one's demand.
 
-    Whoever is listed shares, heard of or not.
+    Each listed instance participates, whether or not it has sent news.
 
-    :param offers: of this instance.
+    :param demand: demand at this instance.
     """
     if not is_wide(state):
-        domain_peers = _list_offers(state, state.peers_by_name, now)
-        domain_peers[own.name] = offers
+        domain_peers = _list_peer_demand(state, state.peers_by_name, now)
+        domain_peers[own.name] = demand
         return LimitParticipants(
-            own.name, _EVERYBODY, {_EVERYBODY: None}, domain_peers
+            own.name, _SINGLE_GROUP, {_SINGLE_GROUP: None}, domain_peers
         )
     domain = own.failure_domain
     names = [
@@ -82,37 +82,38 @@
         for name, peer in state.peers_by_name.items()
         if peer.failure_domain == domain
     ]
-    domain_peers = _list_offers(state, names, now)
-    domain_peers[own.name] = offers
-    told = [each for each in domain_peers.values() if each is not None]
-    groups = {**_list_domain_offers(state, now), domain: sum_demand(told)}
+    domain_peers = _list_peer_demand(state, names, now)
+    domain_peers[own.name] = demand
+    reported = [each for each in domain_peers.values() if each is not None]
+    groups = {**_list_domain_demand(state, now), domain: sum_demand(reported)}
     return LimitParticipants(own.name, domain, groups, domain_peers)
 
 
-def _list_offers(
+def _list_peer_demand(
     state: NewsState, names: Iterable[str], now: Millis
 ) -> dict[str, DemandByService]:
     received_by_name = state.received_by_name
     return {
-        name: _find_offers(received_by_name.get(name), now) for name in names
+        name: _find_recent_demand(received_by_name.get(name), now)
+        for name in names
     }
 
 
-def _list_domain_offers(
+def _list_domain_demand(
     state: NewsState, now: Millis
 ) -> dict[str, DemandByService]:
     domains = {peer.failure_domain for peer in state.peers_by_name.values()}
-    heard_by_domain = state.domains_by_name
+    received_by_domain = state.domains_by_name
     return {
-        domain: _find_offers(heard_by_domain.get(domain), now)
+        domain: _find_recent_demand(received_by_domain.get(domain), now)
         for domain in domains
     }
 
 
-def _find_offers(
-    heard: ReceivedNews | ReceivedDomainNews | None, now: Millis
+def _find_recent_demand(
+    received: ReceivedNews | ReceivedDomainNews | None, now: Millis
 ) -> DemandByService:
-    """Return what was told of late; ``None`` for nothing."""
-    if heard is None or now - heard.at > ALIVE_MS:
+    """Return the recently reported demand, or ``None`` if there is none."""
+    if received is None or now - received.at > ALIVE_MS:
         return None
-    return heard.news.offers
+    return received.news.offers
--- a/src/cartdale/news/ports.py
+++ b/src/cartdale/news/ports.py
@@ -1,4 +1,4 @@
-"""What the exchange of news needs of the network."""
+"""Network interface that the news exchange depends on."""
 
 from typing import Protocol
 
@@ -6,16 +6,18 @@
 
 
 class Datagrams(Protocol):
-    """Send and receive messages that may be lost on their way."""
+    """Send and receive messages that may be lost in transit."""
 
     def send(self, raw: bytes, peer: PeerEntry) -> None:
-        """Send a message without waiting.
+        """Send a message without blocking.
 
-        :raises OSError: when it can't be sent now; a full buffer included.
+        :raises OSError: if it can't be sent now, for example because the send
+            buffer is full.
         """
 
     async def receive(self) -> bytes:
         """Wait for a message.
 
-        :raises OSError: when the network told of a failed one instead.
+        :raises OSError: if the network reports the failure of an earlier send
+            instead.
         """
--- a/src/cartdale/news/registration.py
+++ b/src/cartdale/news/registration.py
@@ -1,4 +1,4 @@
-"""List this instance in the store, and share the cluster's key there."""
+"""Register this instance in the store, and share the cluster key there."""
 
 import secrets
 from collections.abc import Callable
@@ -25,25 +25,28 @@
 
 PEER_PREFIX = 'cartdale/peers/'
 KEY_NAME = 'cartdale/cluster-key'
-#: An instance that dies stays listed for so long; datagrams to it are lost.
-_LEASE: Millis = MINUTE_MS // 3
-#: Between renewals in a small system. They also show within about a
-#: second that the store is away, which a held watch does not.
-_RENEW_EVERY: Millis = SECOND_MS
-#: The same in the largest: two answers may be lost before the lease runs out.
-_RENEW_AT_LEAST_EVERY: Millis = _LEASE // 3
-_RETRY_EVERY: Millis = SECOND_MS
+#: A crashed instance stays listed until its lease expires; datagrams to it are
+#: lost.
+_LEASE_DURATION: Millis = MINUTE_MS // 3
+#: Time between renewals in a small system. Renewals also detect a store outage
+#: within about a second, which an open watch does not.
+_RENEW_INTERVAL: Millis = SECOND_MS
+#: Maximum time between renewals, in the largest systems: two responses may be
+#: lost before the lease expires.
+_MAX_RENEW_INTERVAL: Millis = _LEASE_DURATION // 3
+_RETRY_INTERVAL: Millis = SECOND_MS
 _KEY_BYTES = 32
 
 
 class PeerRegistration:
-    """Keep this instance listed.
-
-    :param own: what the others need to reach it.
-    :param count_peers: counts the instances that are listed.
-    :param on_listed: called once this instance is listed for the first time.
-    :param on_lapsed: called when its listing is gone from the store, and with
-        it perhaps what else was written.
+    """Keep this instance registered.
+
+    :param own: entry by which peers reach it.
+    :param count_peers: counts the registered instances.
+    :param on_listed: called once this instance is registered for the first
+        time.
+    :param on_lapsed: called when its registration is gone from the store;
+        other data may have been lost with it.
     """
 
     def __init__(
@@ -61,34 +64,34 @@
         self._own = own
         self._lease = 0
         self._listed = False
-        #: Whether the store did not answer the last call.
+        #: Whether the store failed to respond to the last call.
         self.failing = False
 
     async def register(self) -> None:
-        """List this instance, unless it is listed; once, good or bad."""
+        """Register this instance if it isn't; tries once."""
         if not self._listed:
             await self._register()
 
     async def run(self) -> None:
-        """List this instance and renew its lease, for ever."""
+        """Register this instance and renew its lease until cancelled."""
         while True:
             if self._listed:
                 await self._renew()
             else:
                 await self._register()
-            pause = self._choose_pause() if self._listed else _RETRY_EVERY
+            pause = self._choose_pause() if self._listed else _RETRY_INTERVAL
             await trio.sleep(as_seconds(pause))
 
     async def withdraw(self) -> None:
-        """Remove this instance from the list."""
+        """Remove the registration of this instance."""
         if self._listed:
             await self._store.revoke(self._lease)
 
     async def propose_key(self, known: bytes = b'') -> bytes:
-        """Write the cluster key unless there is one.
+        """Write the cluster key unless one is stored.
 
-        :param known: that the instances have; empty for a new one.
-        :returns: the key that is stored; empty when that is not known.
+        :param known: key that the instances use; empty to generate one.
+        :returns: the stored key; empty if it is unknown.
         """
         raw = known or secrets.token_bytes(_KEY_BYTES)
         outcome = await self._store.transact(
@@ -97,17 +100,17 @@
         match outcome:
             case Success(Committed()):
                 return raw
-            case Success(CompareFailed(entries=(found, *_))):
-                return found.value
+            case Success(CompareFailed(entries=(existing, *_))):
+                return existing.value
         return b''
 
     def _choose_pause(self) -> Millis:
-        """Return how long to wait before the lease is renewed."""
-        renew_every = _RENEW_EVERY * stretch(self._count_peers())
-        return min(renew_every, _RENEW_AT_LEAST_EVERY)
+        """Return the time to wait before renewing the lease."""
+        renew_interval = _RENEW_INTERVAL * stretch(self._count_peers())
+        return min(renew_interval, _MAX_RENEW_INTERVAL)
 
     async def _register(self) -> None:
-        granted = await self._store.grant(_LEASE)
+        granted = await self._store.grant(_LEASE_DURATION)
         self.failing = not isinstance(granted, Success)
         if not isinstance(granted, Success):
             logger.info(
--- a/src/cartdale/news/roles.py
+++ b/src/cartdale/news/roles.py
@@ -1,7 +1,8 @@
-"""Decide who tells whom, who watches the store and who asks upstreams.
+"""Assign recipients of news, store watchers and upstream probers.
 
-Each instance decides by itself, from whom it heard of late. While they
-disagree, for a second or two, a duty is done twice or waits for the next.
+Each instance assigns the roles by itself, from the news it received recently.
+While instances disagree, for a second or two, a role is held twice or is vacant
+until the next instance takes it.
 """
 
 import zlib
@@ -10,34 +11,35 @@
 from cartdale.clock import MINUTE_MS, Millis
 from cartdale.news.types import NewsState, PeerEntry, ReceivedNews
 
-#: No message from anyone for so long shows that this instance is cut off;
+#: Time without any message after which this instance counts itself as cut off;
 #: each of the others sends at least every 400 ms in a small system.
 SILENT_MS: Millis = 1200
-#: A peer that was silent for so long gets no more messages.
+#: Time without a message from a peer after which it is sent none.
 FORGET_MS: Millis = MINUTE_MS // 2
-#: Instances that wait for changes at the store in a small system; the others
-#: hear of them in news. All of them are lost at once only with most of it.
+#: Instances that watch the store for changes in a small system; the others
+#: receive the changes in news. All watchers fail at once only if most of the
+#: system does.
 WATCHERS = 4
-#: Failure domains of a large system in which one instance does so. Each
-#: change at the store is one priced call for each of them, whatever the
-#: number of instances; two, so that the loss of one costs no time.
+#: Failure domains of a large system in which one instance watches the store.
+#: Each change at the store is one billed call per watcher, whatever the number
+#: of instances; with two, the loss of one causes no delay.
 WATCHING_DOMAINS = 2
-#: With more peers than this, instances tell their news only to those of their
-#: failure domain, and one of them speaks for it to the other domains.
-MOST_FLAT_PEERS = 16
-#: Intervals grow by their first length for each so many peers, so that what
-#: an instance sends to all of them stays bounded.
+#: With more peers than this, instances send their news only within their
+#: failure domain, and one of them publishes for it to the other domains.
+MAX_FLAT_PEERS = 16
+#: Intervals grow by their base length for each such number of peers, which
+#: bounds the rate at which an instance sends messages.
 PEERS_PER_INTERVAL = 16
 
 
 @dataclass(frozen=True, slots=True)
 class StoreView:
-    """Say how this instance stands with the store.
+    """Describe this instance's view of the store.
 
-    :param lost: whether the store does not answer it.
-    :param young: whether it started so lately that it can't have heard
-        everybody yet; those that are listed count as alive then, or all that
-        start together would follow the store.
+    :param lost: whether the store does not respond to it.
+    :param young: whether it started too recently to have received news from
+        all peers. Listed peers then count as alive; otherwise all instances
+        that start together would watch the store.
     """
 
     lost: bool = False
@@ -45,15 +47,15 @@
 
 
 def is_wide(state: NewsState) -> bool:
-    """Tell whether news go by failure domains, since there are many peers."""
-    many = len(state.peers_by_name) > MOST_FLAT_PEERS
+    """Return whether news is exchanged by failure domain, for many peers."""
+    many = len(state.peers_by_name) > MAX_FLAT_PEERS
     return many and len(_list_domains(state)) > 1
 
 
 def list_recipients(
     state: NewsState, own: PeerEntry, now: Millis
 ) -> list[PeerEntry]:
-    """Return the peers to which this instance tells its news."""
+    """Return the peers to which this instance sends its news."""
     reachable = [
         peer for peer in _list_reachable(state, now) if peer.name != own.name
     ]
@@ -67,49 +69,52 @@
 def find_silence_timeout(
     state: NewsState, own: PeerEntry, now: Millis
 ) -> Millis:
-    """Return how long those around may be silent until they are missed."""
+    """Return how long a domain peer may be silent before it counts as gone."""
     return SILENT_MS * stretch(len(list_recipients(state, own, now)))
 
 
 def is_watcher(
     state: NewsState, own: PeerEntry, now: Millis, view: StoreView
 ) -> bool:
-    """Tell whether this instance follows the store for the others.
+    """Return whether this instance watches the store for the others.
 
-    The first of a fixed order among those that are alive and that the store
-    answers; each instance decides by itself, and while they disagree a few
-    more than needed watch. While the store answers nobody the same few keep
-    asking. In a large system a few failure domains have one watcher each.
+    Watchers are the first instances, in a fixed order, that are alive and get
+    responses from the store. Each instance decides by itself; while they
+    disagree, a few more than needed watch. While the store responds to no
+    instance, the same few keep trying. In a large system a few failure domains
+    have one watcher each.
 
-    :param view: how this instance stands with the store.
+    :param view: this instance's view of the store.
     """
-    alive = [heard.news for heard in _list_alive(state, own, now)]
-    around = [news.peer for news in alive if not news.store_lost]
-    if view.lost and around:
+    alive = [received.news for received in _list_alive(state, own, now)]
+    candidates = [news.peer for news in alive if not news.store_lost]
+    if view.lost and candidates:
         return False
     if view.lost:
-        around = [news.peer for news in alive]
+        candidates = [news.peer for news in alive]
     if view.young:
-        around.extend(_list_unheard(state, own))
+        candidates.extend(_list_never_received(state, own))
     if not is_wide(state):
-        return _count_earlier(own, around) < WATCHERS
-    if _count_earlier(own, around):
+        return _count_earlier(own, candidates) < WATCHERS
+    if _count_earlier(own, candidates):
         return False
-    domains = sorted(_list_watching_domains(state, own, now, view), key=_order)
+    domains = sorted(
+        _list_watching_domains(state, own, now, view), key=_hash_name
+    )
     return own.failure_domain in domains[:WATCHING_DOMAINS]
 
 
 def is_domain_publisher(state: NewsState, own: PeerEntry, now: Millis) -> bool:
-    """Tell whether this instance speaks for its failure domain.
+    """Return whether this instance publishes for its failure domain.
 
-    The last of the order by which watchers are the first, so that no
-    instance has both duties.
+    The publisher is the last in the order in which watchers are the first, so
+    that no instance has both roles.
     """
     if not is_wide(state):
         return False
     return all(
-        _order(heard.news.peer.name) < _order(own.name)
-        for heard in _list_alive(state, own, now)
+        _hash_name(received.news.peer.name) < _hash_name(own.name)
+        for received in _list_alive(state, own, now)
     )
 
 
@@ -120,27 +125,27 @@
     failure_domain: str,
     now: Millis,
 ) -> bool:
-    """Tell whether this instance asks an upstream for all how it is.
+    """Return whether this instance polls an upstream for all instances.
 
-    Rendezvous hashing over the instances that were heard of late, in a
-    large system over those of the upstream's failure domain.
+    Uses rendezvous hashing over the instances with recent news; in a large
+    system, over those of the upstream's failure domain.
     """
     if is_wide(state) and own.failure_domain != failure_domain:
         return False
-    weight = _order(f'{own.name} {upstream}')
+    weight = _hash_name(f'{own.name} {upstream}')
     return all(
-        _order(f'{heard.news.peer.name} {upstream}') < weight
-        for heard in _list_alive(state, own, now)
+        _hash_name(f'{received.news.peer.name} {upstream}') < weight
+        for received in _list_alive(state, own, now)
     )
 
 
 def choose_domain_recipients(
     state: NewsState, own: PeerEntry, now: Millis, turn: int
 ) -> list[PeerEntry]:
-    """Return one instance in each other failure domain to speak to.
+    """Return one recipient of domain news in each other failure domain.
 
-    Who spoke for it last, or while nobody does each of its instances in
-    turn: whoever gets the news passes them on.
+    This is the domain's last publisher; while it has no active one, each of its
+    instances in turn. The recipient forwards the news within its domain.
     """
     peers_by_domain: dict[str, list[PeerEntry]] = {}
     for peer in state.peers_by_name.values():
@@ -148,29 +153,29 @@
             peers_by_domain.setdefault(peer.failure_domain, []).append(peer)
     recipients: list[PeerEntry] = []
     for domain, peers in peers_by_domain.items():
-        heard = state.domains_by_name.get(domain)
-        if heard is not None and now - heard.at <= SILENT_MS:
-            recipients.append(heard.news.peer)
+        received = state.domains_by_name.get(domain)
+        if received is not None and now - received.at <= SILENT_MS:
+            recipients.append(received.news.peer)
             continue
         recipients.append(peers[turn % len(peers)])
     return recipients
 
 
 def stretch(peers: int) -> int:
-    """Return how many times longer intervals are than in a small system."""
+    """Return the factor by which intervals exceed those of a small system."""
     return 1 + peers // PEERS_PER_INTERVAL
 
 
-def _order(name: str) -> int:
+def _hash_name(name: str) -> int:
     return zlib.crc32(name.encode())
 
 
 def _list_reachable(state: NewsState, now: Millis) -> list[PeerEntry]:
-    """Return the peers that are worth a message."""
+    """Return the peers that were not silent for too long."""
     reachable: list[PeerEntry] = []
     for name, peer in state.peers_by_name.items():
-        heard = state.received_by_name.get(name)
-        if heard is None or now - heard.at <= FORGET_MS:
+        received = state.received_by_name.get(name)
+        if received is None or now - received.at <= FORGET_MS:
             reachable.append(peer)
     return reachable
 
@@ -178,24 +183,26 @@
 def _list_alive(
     state: NewsState, own: PeerEntry, now: Millis
 ) -> list[ReceivedNews]:
-    """Return what peers told of late; in a large system those around."""
-    patience = find_silence_timeout(state, own, now)
+    """Return recent news of peers; in a large system, of domain peers only."""
+    timeout = find_silence_timeout(state, own, now)
     wide = is_wide(state)
     return [
-        heard
-        for heard in state.received_by_name.values()
-        if now - heard.at <= patience
-        and (not wide or heard.news.peer.failure_domain == own.failure_domain)
+        received
+        for received in state.received_by_name.values()
+        if now - received.at <= timeout
+        and (
+            not wide or received.news.peer.failure_domain == own.failure_domain
+        )
     ]
 
 
 def _count_earlier(own: PeerEntry, peers: list[PeerEntry]) -> int:
-    """Return how many come before this instance in the fixed order."""
-    return sum(_order(peer.name) < _order(own.name) for peer in peers)
+    """Return how many peers precede this instance in the fixed order."""
+    return sum(_hash_name(peer.name) < _hash_name(own.name) for peer in peers)
 
 
-def _list_unheard(state: NewsState, own: PeerEntry) -> list[PeerEntry]:
-    """Return the listed peers around that were never heard of."""
+def _list_never_received(state: NewsState, own: PeerEntry) -> list[PeerEntry]:
+    """Return the listed domain peers that never sent news."""
     wide = is_wide(state)
     return [
         peer
@@ -209,23 +216,23 @@
 def _list_watching_domains(
     state: NewsState, own: PeerEntry, now: Millis, view: StoreView
 ) -> set[str]:
-    """Return the failure domains that can follow the store for the others.
+    """Return the failure domains that can watch the store for the others.
 
-    Those with instances that the store answers; while it answers nobody, all
-    that were heard of late.
+    These are the domains with instances to which the store responds; while it
+    responds to none, all domains with recent news.
     """
-    patience = find_silence_timeout(state, own, now)
-    heard = {
-        domain: told.news.store_lost
-        for domain, told in state.domains_by_name.items()
-        if now - told.at <= patience
+    timeout = find_silence_timeout(state, own, now)
+    lost_by_domain = {
+        domain: received.news.store_lost
+        for domain, received in state.domains_by_name.items()
+        if now - received.at <= timeout
     }
-    answered = {domain for domain, lost in heard.items() if not lost}
+    answered = {domain for domain, lost in lost_by_domain.items() if not lost}
     if not view.lost:
         answered.add(own.failure_domain)
     if view.young:
-        answered.update(_list_domains(state) - heard.keys())
-    return answered or {own.failure_domain, *heard}
+        answered.update(_list_domains(state) - lost_by_domain.keys())
+    return answered or {own.failure_domain, *lost_by_domain}
 
 
 def _list_domains(state: NewsState) -> set[str]:
--- a/src/cartdale/news/types.py
+++ b/src/cartdale/news/types.py
@@ -25,13 +25,13 @@
 
 @dataclass(frozen=True, slots=True)
 class LimitNews:
-    """Tell which rate limit an upstream named in an answer.
+    """Report a rate limit that an upstream announced in a response.
 
-    :param per_second: requests a second; infinite for no limit.
-    :param asked_ago: time since the request was sent that was answered so.
-    :param answered_ago: time since the head of its answer came.
-    :param born: start of the upstream's life, in Unix milliseconds; 0 when it
-        does not tell.
+    :param per_second: requests per second; infinite for no limit.
+    :param asked_ago: time since the request of that response was sent.
+    :param answered_ago: time since the head of the response arrived.
+    :param born: start of the upstream's incarnation, in Unix milliseconds; 0
+        if it does not report one.
     """
 
     per_second: float
@@ -42,27 +42,27 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadNews:
-    """Tell what an instance has running and what it knows.
+    """Publish the work that an instance has running and the state it knows.
 
     :param boot: wall time of the sender's start, in milliseconds; larger
         is newer.
-    :param number: counts the sender's messages since its start.
+    :param number: sequence number of the message since the sender's start.
     :param version: configuration in force at the sender.
     :param peer: how the sender is reached.
     :param leaving: upstreams that take no new work.
-    :param births: when those were born, in Unix milliseconds: one may have
-        started again under its id.
-    :param entries: upstreams whose entries changed of late.
-    :param store_lost: whether the store does not answer the sender.
-    :param unreachable: upstreams that the sender could not reach of late.
-    :param evacuations: of failure domains, present and past; in each message,
-        so that one which was missed is made up for by the next.
-    :param crashes: upstreams that ended as they began to run a request.
-    :param departing: those of ``leaving`` that said it in an answer to the
-        sender; they don't come back, whatever the store says.
-    :param limits: what upstreams named of late in answers to the sender.
-    :param offers: requests a second that the sender's callers ask of the
-        services with limited upstreams.
+    :param births: start times of those, in Unix milliseconds, since an upstream
+        may have restarted under its id.
+    :param entries: upstreams whose entries changed recently.
+    :param store_lost: whether the store does not respond to the sender.
+    :param unreachable: upstreams that the sender recently failed to reach.
+    :param evacuations: current and past evacuations of failure domains; sent in
+        each message, so that the next one makes up for a lost one.
+    :param crashes: upstreams that crashed as they began to run a request.
+    :param departing: those of ``leaving`` that announced it in a response to
+        the sender; they don't come back, whatever the store says.
+    :param limits: limits recently announced in responses to the sender.
+    :param offers: demand of the sender's callers, in requests per second, by
+        service with limited upstreams.
     """
 
     boot: Millis
@@ -84,26 +84,26 @@
 
 @dataclass(frozen=True, slots=True)
 class DomainNews:
-    """Tell another failure domain what the instances of one have and know.
+    """Publish the combined state of a failure domain to another one.
 
     :param boot: wall time of the sender's start, in milliseconds.
-    :param number: counts the sender's messages of this kind.
+    :param number: sequence number of the sender's messages of this kind.
     :param version: configuration in force at the sender.
     :param peer: how the sender is reached.
-    :param alive: instances of its failure domain that it heard of late,
-        itself included.
-    :param loads_by_upstream: what all of them have running.
+    :param alive: number of instances of its failure domain with recent news,
+        the sender included.
+    :param loads_by_upstream: work that all of them have running.
     :param leaving: upstreams that take no new work.
-    :param births: when those were born, in Unix milliseconds.
-    :param entries: upstreams whose entries changed of late.
-    :param reporters_by_upstream: how many instances of the failure domain
-        could not reach an upstream of late.
-    :param store_lost: whether the store answers none of them.
-    :param evacuations: of failure domains, present and past.
-    :param crashes: upstreams that ended as they began to run a request.
-    :param departing: those of ``leaving`` that said it themselves.
-    :param limits: what upstreams named of late in answers there.
-    :param offers: requests a second of all callers there together.
+    :param births: start times of those, in Unix milliseconds.
+    :param entries: upstreams whose entries changed recently.
+    :param reporters_by_upstream: number of instances of the failure domain
+        that recently failed to reach an upstream.
+    :param store_lost: whether the store responds to none of them.
+    :param evacuations: current and past evacuations of failure domains.
+    :param crashes: upstreams that crashed as they began to run a request.
+    :param departing: those of ``leaving`` that announced it themselves.
+    :param limits: limits recently announced in responses to that domain.
+    :param offers: demand of all callers of that domain, in requests per second.
     """
 
     boot: Millis
@@ -142,9 +142,10 @@
 
 @dataclass(frozen=True, slots=True)
 class NewsState:
-    """Hold the peers and what they said last.
+    """Hold the peers and their latest news.
 
-    :param domains_by_name: the other failure domains, in a large system.
+    :param domains_by_name: latest news of the other failure domains, in a large
+        system.
     """
 
     peers_by_name: dict[str, PeerEntry] = field(default_factory=dict)
@@ -161,14 +162,14 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerRemoved:
-    """The store lists an instance no more."""
+    """The store no longer lists an instance."""
 
     name: str
 
 
 @dataclass(frozen=True, slots=True)
 class NewsArrived:
-    """A genuine message came from a peer."""
+    """An authenticated message from a peer arrived."""
 
     sender: str
     news: LoadNews
@@ -176,10 +177,10 @@
 
 @dataclass(frozen=True, slots=True)
 class DomainNewsArrived:
-    """A genuine message about another failure domain came.
+    """An authenticated message about another failure domain arrived.
 
-    :param direct: whether its sender chose this instance; it is passed on
-        to the instances around then.
+    :param direct: whether its sender addressed this instance, which then
+        forwards it to its domain peers.
     """
 
     news: DomainNews
@@ -188,7 +189,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ApplyLoads:
-    """Replace what a peer, or all of a failure domain, has running."""
+    """Replace the loads of a peer or of a whole failure domain."""
 
     peer: str
     loads_by_upstream: dict[str, Load]
@@ -196,10 +197,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ApplyLeaving:
-    """Take over that an upstream leaves.
+    """Mark an upstream as leaving.
 
-    :param born: start of the life that leaves; 0 when that is not told.
-    :param announced: whether it said so itself.
+    :param born: start of the incarnation that leaves; 0 if unknown.
+    :param announced: whether the upstream announced it itself.
     """
 
     upstream: str
@@ -209,7 +210,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ApplyLimit:
-    """Take over which rate limit an upstream named."""
+    """Apply a rate limit that an upstream announced."""
 
     upstream: str
     news: LimitNews
@@ -217,35 +218,35 @@
 
 @dataclass(frozen=True, slots=True)
 class ApplyEntry:
-    """Take over what an upstream wrote of itself."""
+    """Apply the entry that an upstream wrote about itself."""
 
     entry: UpstreamEntry
 
 
 @dataclass(frozen=True, slots=True)
 class ApplyEvacuations:
-    """Take over what is newer of the evacuations that a peer knows."""
+    """Apply those evacuations of a peer that are newer."""
 
     evacuations: tuple[Evacuation, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class AvoidUpstream:
-    """Take over that an upstream can't be reached, as several tell."""
+    """Avoid an upstream that several instances report as unreachable."""
 
     upstream: str
 
 
 @dataclass(frozen=True, slots=True)
 class FetchTable:
-    """Ask a peer for its configuration, which is newer."""
+    """Request a newer configuration from a peer."""
 
     peer: PeerEntry
 
 
 @dataclass(frozen=True, slots=True)
 class ForwardNews:
-    """Pass the message on to the instances of this failure domain."""
+    """Forward the message to the instances of this failure domain."""
 
 
 Message = PeerListed | PeerRemoved | NewsArrived | DomainNewsArrived
--- a/src/cartdale/news/writing.py
+++ b/src/cartdale/news/writing.py
@@ -1,4 +1,4 @@
-"""Write this instance's news, and those of its failure domain."""
+"""Compose and sign news of this instance and of its failure domain."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, replace
@@ -16,15 +16,15 @@
 
 NEWS_KIND = LoadNews.__name__
 DOMAIN_KIND = DomainNews.__name__
-_EVERYBODY = '*'
-#: Upstreams that left, and those that changed, are told about for so long.
-_LEAVING_TOLD: Millis = 3 * SECOND_MS
-_CHANGED_TOLD: Millis = 3 * SECOND_MS
+_ANY_RECIPIENT = '*'
+#: Time for which news reports upstreams that left, and entries that changed.
+_LEAVING_REPORTED: Millis = 3 * SECOND_MS
+_CHANGE_REPORTED: Millis = 3 * SECOND_MS
 
 
 @dataclass(frozen=True, slots=True)
-class _Content:
-    """Tell apart what is worth a message before its time."""
+class _ContentVersions:
+    """Identify the content whose change triggers a message early."""
 
     loads: int
     version: int
@@ -37,12 +37,12 @@
 
 
 class NewsWriter:
-    """Write messages from what this instance's fleet holds.
+    """Compose messages from the state of this instance's fleet.
 
-    :param own: how this instance is reached.
-    :param is_watcher: tells whether this instance follows the store for the
-        others, and so tells them of new entries.
-    :param store_lost: tells whether the store does not answer here.
+    :param own: entry by which peers reach this instance.
+    :param is_watcher: returns whether this instance watches the store for the
+        others, and so reports new entries to them.
+    :param store_lost: returns whether the store is unreachable from here.
     """
 
     def __init__(
@@ -60,16 +60,16 @@
         self._store_lost = store_lost
         self._boot = clock.wall_time()
         self._number = 0
-        self._told: _Content | None = None
+        self._last_written: _ContentVersions | None = None
 
     def has_new(self) -> bool:
-        """Tell whether there is something that was not written yet."""
-        return self._told != self._newest()
+        """Return whether content has changed since the last message."""
+        return self._last_written != self._current_versions()
 
     def write(self, authenticator: Authenticator) -> bytes:
-        """Return the next message, sealed."""
+        """Return the next message, signed."""
         self._number += 1
-        self._told = self._newest()
+        self._last_written = self._current_versions()
         leaving = self._list_leaving()
         news = LoadNews(
             boot=self._boot,
@@ -89,11 +89,11 @@
             offers=self._fleet.limits.measure_demand(),
         )
         return self._sign(
-            authenticator, _EVERYBODY, NEWS_KIND, encode_binary(news)
+            authenticator, _ANY_RECIPIENT, NEWS_KIND, encode_binary(news)
         )
 
     def list_unreachable(self) -> tuple[str, ...]:
-        """Return the upstreams that this instance could not reach of late."""
+        """Return upstreams that this instance recently failed to reach."""
         now = self._clock.now()
         return tuple(
             name
@@ -109,15 +109,16 @@
         *,
         store_lost: bool,
     ) -> DomainNews:
-        """Return what this instance tells of its failure domain.
+        """Compose the news of this instance's failure domain.
 
-        It gets its number when it is closed, and what has an age when it is
-        sent, so that two are equal that tell the same.
+        The number is set on signing and the parts with an age on sending, so
+        that news with the same content compare equal.
 
-        :param alive: instances there, this one included.
-        :param loads_by_upstream: what all of them have running.
-        :param reporters_by_upstream: how many of them can't reach it.
-        :param store_lost: whether the store answers none of them.
+        :param alive: number of instances there, this one included.
+        :param loads_by_upstream: work that all of them have running.
+        :param reporters_by_upstream: number of them that can't reach an
+            upstream.
+        :param store_lost: whether the store responds to none of them.
         """
         leaving = self._list_leaving()
         return DomainNews(
@@ -137,7 +138,7 @@
         )
 
     def list_limits(self) -> dict[str, LimitNews]:
-        """Return what upstreams named of late in answers here."""
+        """Return limits recently announced in responses to this instance."""
         now = self._clock.now()
         upstreams_by_id = self._fleet.state.upstreams_by_id
         return {
@@ -151,7 +152,7 @@
     def sign_domain_news(
         self, authenticator: Authenticator, news: DomainNews, recipient: str
     ) -> bytes:
-        """Return news of this failure domain, sealed for an instance."""
+        """Return news of this failure domain, signed for one recipient."""
         self._number += 1
         numbered = replace(news, number=self._number)
         return self._sign(
@@ -174,8 +175,8 @@
         )
         return authenticator.sign(envelope)
 
-    def _newest(self) -> _Content:
-        return _Content(
+    def _current_versions(self) -> _ContentVersions:
+        return _ContentVersions(
             self._fleet.loads.version,
             self._fleet.table.version,
             self._fleet.lifecycles if self._is_watcher() else 0,
@@ -192,42 +193,43 @@
             name
             for name, upstream in self._fleet.state.upstreams_by_id.items()
             if upstream.lifecycle is Lifecycle.LEAVING
-            and now - upstream.changed_at <= _LEAVING_TOLD
+            and now - upstream.changed_at <= _LEAVING_REPORTED
         )
 
     def _list_departing(
         self, leaving: tuple[str, ...], *, observed_locally: bool = False
     ) -> tuple[str, ...]:
-        """Return those that said themselves that they leave.
+        """Return the leaving upstreams that announced it themselves.
 
-        :param observed_locally: only those that said it to this instance: if
-            each told what it was told, a departure would be told by all to all.
+        :param observed_locally: include only those that announced it to this
+            instance. If instances repeated what peers reported, each departure
+            would be sent by all instances to all.
         """
         upstreams_by_id = self._fleet.state.upstreams_by_id
-        said = [
+        departing = [
             name for name in leaving if upstreams_by_id[name].announced_leaving
         ]
         if observed_locally:
-            said = [
+            departing = [
                 name
-                for name in said
+                for name in departing
                 if upstreams_by_id[name].leaving_observed_locally
             ]
-        return tuple(said)
+        return tuple(departing)
 
     def _list_births(self, leaving: tuple[str, ...]) -> dict[str, Millis]:
-        """Return when those that leave were born, where they tell it."""
+        """Return the start times of leaving upstreams that report one."""
         upstreams_by_id = self._fleet.state.upstreams_by_id
         births = {name: upstreams_by_id[name].entry.born for name in leaving}
         return {name: born for name, born in births.items() if born}
 
     def _list_changed(self) -> tuple[UpstreamEntry, ...]:
-        """Return new entries, and those that say that they leave."""
+        """Return new entries, and those of upstreams that announced leaving."""
         now = self._clock.now()
         return tuple(
             upstream.entry
             for upstream in self._fleet.state.upstreams_by_id.values()
-            if now - upstream.changed_at <= _CHANGED_TOLD
+            if now - upstream.changed_at <= _CHANGE_REPORTED
             and (
                 upstream.lifecycle is Lifecycle.LIVE
                 or upstream.announced_leaving
--- a/tests/test_domain_news.py
+++ b/tests/test_domain_news.py
@@ -1,4 +1,4 @@
-"""Domain news: large systems tell each other by failure domains."""
+"""Domain news: in large systems, failure domains exchange summaries."""
 
 import socket
 from collections import Counter
@@ -18,7 +18,7 @@
 )
 from cartdale.news.driver import NewsExchange
 from cartdale.news.roles import (
-    MOST_FLAT_PEERS,
+    MAX_FLAT_PEERS,
     SILENT_MS,
     WATCHING_DOMAINS,
     StoreView,
@@ -56,7 +56,7 @@
 
 
 def make_state(peers=PEERS, own=OWN, now: int = 0, **changes) -> NewsState:
-    """Return what an instance knows that heard all around it."""
+    """Return the state of an instance with news of all its domain peers."""
     state = NewsState()
     for peer in peers:
         state, _ = decide(state, PeerListed(peer), now, 0)
@@ -70,23 +70,25 @@
     return DomainNews(1, number, 0, peer, 8, {'u': Load(runs=5)}, **changes)
 
 
-def test_small_systems_tell_everybody() -> None:
-    few = PEERS[:MOST_FLAT_PEERS]
+def test_small_systems_send_news_to_all_peers() -> None:
+    few = PEERS[:MAX_FLAT_PEERS]
     state = make_state(few)
     assert not is_wide(state)
     assert len(list_recipients(state, OWN, 0)) == len(few) - 1
     assert not is_domain_publisher(state, OWN, 0)
 
 
-def test_large_systems_tell_their_failure_domain() -> None:
+def test_large_systems_send_news_within_the_failure_domain() -> None:
     state = make_state()
-    audience = list_recipients(state, OWN, 0)
-    assert {peer.failure_domain for peer in audience} == {'east'}
-    assert len(audience) == 7
+    recipients = list_recipients(state, OWN, 0)
+    assert {peer.failure_domain for peer in recipients} == {'east'}
+    assert len(recipients) == 7
 
 
-def hear_domains(state: NewsState, own, now: int = 0, **changes) -> NewsState:
-    """Return what an instance knows that heard of the other domains too."""
+def apply_domain_news(
+    state: NewsState, own, now: int = 0, **changes
+) -> NewsState:
+    """Return a state that also holds news of the other domains."""
     for peer in PEERS[::8]:
         if peer.failure_domain != own.failure_domain:
             news = make_news(peer, **changes)
@@ -96,12 +98,12 @@
 
 
 def list_watchers(view: StoreView, **changes) -> list[PeerEntry]:
-    """Return who watches when all heard all, with one view of the store."""
+    """Return the watchers if all have all news and one view of the store."""
     return [
         peer
         for peer in PEERS
         if is_watcher(
-            hear_domains(make_state(own=peer, **changes), peer, **changes),
+            apply_domain_news(make_state(own=peer, **changes), peer, **changes),
             peer,
             0,
             view,
@@ -109,15 +111,15 @@
     ]
 
 
-def test_one_speaks_in_each_failure_domain() -> None:
+def test_each_failure_domain_has_one_publisher() -> None:
     for domain in DOMAINS:
-        around = [peer for peer in PEERS if peer.failure_domain == domain]
-        speakers = [
+        domain_peers = [peer for peer in PEERS if peer.failure_domain == domain]
+        publishers = [
             peer
-            for peer in around
+            for peer in domain_peers
             if is_domain_publisher(make_state(own=peer), peer, 0)
         ]
-        assert len(speakers) == 1
+        assert len(publishers) == 1
 
 
 def test_one_watches_in_each_of_two_failure_domains() -> None:
@@ -128,9 +130,7 @@
         assert not is_domain_publisher(make_state(own=watcher), watcher, 0)
 
 
-def test_another_domain_watches_for_one_that_the_store_does_not_answer() -> (
-    None
-):
+def test_another_domain_watches_for_one_without_the_store() -> None:
     first = list_watchers(StoreView())
     own = next(peer for peer in PEERS if peer not in first)
     lost = first[0].failure_domain
@@ -138,27 +138,27 @@
     for own in PEERS:
         if own.failure_domain == lost:
             continue
-        state = hear_domains(make_state(own=own), own)
-        told = make_news(first[0], number=2, store_lost=True)
-        state, _ = decide(state, DomainNewsArrived(told, False), 0, 0)
+        state = apply_domain_news(make_state(own=own), own)
+        news = make_news(first[0], number=2, store_lost=True)
+        state, _ = decide(state, DomainNewsArrived(news, False), 0, 0)
         if is_watcher(state, own, 0, StoreView()):
             watching.add(own.failure_domain)
     assert len(watching) == WATCHING_DOMAINS
     assert lost not in watching
 
 
-def test_a_few_keep_asking_a_store_that_answers_nobody() -> None:
+def test_a_few_keep_watching_a_store_that_is_down() -> None:
     watchers = list_watchers(StoreView(lost=True), store_lost=True)
     assert len(watchers) == WATCHING_DOMAINS
 
 
-def test_who_the_store_does_not_answer_leaves_it_to_others() -> None:
+def test_an_instance_without_the_store_is_no_watcher() -> None:
     first = list_watchers(StoreView())[0]
-    state = hear_domains(make_state(own=first), first)
+    state = apply_domain_news(make_state(own=first), first)
     assert not is_watcher(state, first, 0, StoreView(lost=True))
 
 
-def test_who_has_just_started_counts_the_listed_as_alive() -> None:
+def test_a_new_instance_counts_listed_peers_as_alive() -> None:
     listed = NewsState()
     for peer in PEERS:
         listed, _ = decide(listed, PeerListed(peer), 0, 0)
@@ -168,31 +168,31 @@
         if is_watcher(listed, peer, 0, StoreView(young=True))
     ]
     assert young == list_watchers(StoreView())
-    # Later on each believes itself alone: nobody was heard of.
+    # Later each instance considers itself alone, without any news.
     assert all(is_watcher(listed, peer, 0, StoreView()) for peer in PEERS)
 
 
-def test_another_speaks_once_the_first_is_silent() -> None:
-    around = [peer for peer in PEERS if peer.failure_domain == 'east']
+def test_another_publishes_once_the_first_is_silent() -> None:
+    domain_peers = [peer for peer in PEERS if peer.failure_domain == 'east']
     first = next(
         peer
-        for peer in around
+        for peer in domain_peers
         if is_domain_publisher(make_state(own=peer), peer, 0)
     )
     later = 10 * SILENT_MS
-    heard = [peer for peer in PEERS if peer != first]
+    reachable = [peer for peer in PEERS if peer != first]
     others = [
         peer
-        for peer in around
+        for peer in domain_peers
         if peer != first
         and is_domain_publisher(
-            make_state(heard, own=peer, now=later), peer, later
+            make_state(reachable, own=peer, now=later), peer, later
         )
     ]
     assert len(others) == 1
 
 
-def test_news_of_a_domain_are_passed_on_once() -> None:
+def test_domain_news_is_forwarded_once() -> None:
     arrived = DomainNewsArrived(make_news(leaving=('x',)), direct=True)
     state, actions = decide(make_state(), arrived, 0, 0)
     assert actions == (
@@ -206,16 +206,16 @@
     assert ForwardNews() not in actions
 
 
-def test_newer_configuration_is_fetched_from_the_speaker() -> None:
+def test_newer_configuration_is_fetched_from_the_publisher() -> None:
     newer = replace(make_news(), version=4)
     _, actions = decide(make_state(), DomainNewsArrived(newer, True), 0, 3)
     assert actions[-1] == FetchTable(NORTH)
-    # The others of the domain fetch it from the one that was told.
+    # The other instances of the domain fetch it from the direct recipient.
     _, actions = decide(make_state(), DomainNewsArrived(newer, False), 0, 3)
     assert FetchTable(NORTH) not in actions
 
 
-def test_domains_are_spoken_to_by_their_speaker_or_by_turns() -> None:
+def test_domain_news_goes_to_the_publisher_or_to_instances_in_turn() -> None:
     state = make_state()
     by_turns = {
         peer.name
@@ -232,7 +232,7 @@
     assert NORTH not in late
 
 
-def test_what_a_domain_tells_counts() -> None:
+def test_domain_news_counts_alive_instances() -> None:
     state, _ = decide(make_state(), DomainNewsArrived(make_news(), True), 0, 0)
     assert count_alive(state, 0) == 7 + 8
     assert not is_silent(state, SILENT_MS)
@@ -240,8 +240,8 @@
 
 
 def test_reporters_of_other_domains_count() -> None:
-    told = make_news(reporters_by_upstream={'x': 1, 'y': 2})
-    state, actions = decide(make_state(), DomainNewsArrived(told, False), 0, 0)
+    news = make_news(reporters_by_upstream={'x': 1, 'y': 2})
+    state, actions = decide(make_state(), DomainNewsArrived(news, False), 0, 0)
     assert AvoidUpstream('x') not in actions
     assert AvoidUpstream('y') in actions
     near = LoadNews(1, 2, 0, PEERS[1], {}, unreachable=('x',))
@@ -249,7 +249,7 @@
     assert AvoidUpstream('x') in actions
 
 
-def test_upstreams_are_asked_from_their_failure_domain() -> None:
+def test_upstreams_are_polled_from_their_failure_domain() -> None:
     probers = [
         peer
         for peer in PEERS
@@ -258,7 +258,7 @@
     assert [peer.failure_domain for peer in probers] == ['west']
 
 
-def test_loads_of_a_domain_are_those_around_and_no_others() -> None:
+def test_loads_of_a_domain_exclude_other_domains() -> None:
     table = LoadTable()
     table.receive('east-1', {'u': Load(runs=2)}, 0)
     table.receive('east-2', {'u': Load(runs=3)}, 0)
@@ -269,7 +269,7 @@
 
 @dataclass
 class Instance:
-    """Hold one instance's exchange of news."""
+    """Hold one instance's news exchange."""
 
     own: PeerEntry
     fleet: Fleet
@@ -296,7 +296,7 @@
     instances = [
         make_instance(domain, number)
         for domain in ('east', 'west')
-        for number in range(MOST_FLAT_PEERS // 2 + 1)
+        for number in range(MAX_FLAT_PEERS // 2 + 1)
     ]
     sent: Counter[str] = Counter()
     with trio.fail_after(20):
@@ -317,5 +317,5 @@
                 if not name.startswith(each.own.failure_domain)
             )
             nursery.cancel_scope.cancel()
-    # Nobody told another failure domain but by the one who speaks for it.
+    # Only domain publishers send news to other failure domains.
     assert not sent
--- a/tests/test_limit_news.py
+++ b/tests/test_limit_news.py
@@ -1,4 +1,4 @@
-"""What instances tell each other of upstreams' rate limits."""
+"""Exchange of upstreams' rate limits between instances."""
 
 from dataclasses import replace
 from math import inf
@@ -43,21 +43,21 @@
 from tests.test_domain_news import (
     OWN,
     PEERS,
-    hear_domains,
+    apply_domain_news,
     make_state,
 )
 from tests.test_fleet import make_entry, make_fleet
 
-#: More than a message takes.
+#: Exceeds the transit time of a message, in milliseconds.
 LATER = 1000
 
 
-def test_peers_hear_of_a_limit_and_of_its_end() -> None:
+def test_peers_receive_a_limit_and_its_end() -> None:
     clock = VirtualClock(10_000)
-    teller = Fleet(clock, 'west', 1)
-    teller.dispatch(EntryWritten(make_entry('a', born=1)))
-    advisories = AdvisoryRecorder(teller, clock)
-    writer = NewsWriter(PEERS[1], teller, clock, bool, bool)
+    sender = Fleet(clock, 'west', 1)
+    sender.dispatch(EntryWritten(make_entry('a', born=1)))
+    advisories = AdvisoryRecorder(sender, clock)
+    writer = NewsWriter(PEERS[1], sender, clock, bool, bool)
     authenticator = Authenticator((b'k' * 32,))
     known = make_fleet('a', born=1)
     for limit in (3.1, inf):
@@ -73,15 +73,15 @@
         assert news.limits == {'a': LimitNews(limit, 40, 0, 1)}
         _, actions = decide_news(NewsState(), NewsArrived('p', news), 0, 0)
         assert ApplyLimit('a', news.limits['a']) in actions
-        named = read_limit(news.limits['a'], clock.now())
+        announced = read_limit(news.limits['a'], clock.now())
         known, actions = decide(
-            known, LimitAdvertised('a', named, 1), clock.now()
+            known, LimitAdvertised('a', announced, 1), clock.now()
         )
         assert actions == (LimitChanged('a', limit),)
         clock.advance(LATER)
 
 
-def test_a_peer_does_not_tell_what_it_was_told() -> None:
+def test_a_peer_does_not_repeat_reported_limits() -> None:
     clock = VirtualClock(10_000)
     fleet = Fleet(clock, 'west', 1)
     fleet.dispatch(EntryWritten(make_entry('a')))
@@ -91,25 +91,25 @@
     assert not writer.list_limits()
 
 
-def test_what_a_peer_tells_late_does_not_end_a_limit() -> None:
-    """It was answered before the limit began, and told after."""
+def test_a_late_report_does_not_end_a_limit() -> None:
+    """The response predates the limit, but is reported after it."""
     known = RateLimit(3, 900, 1000)
     ended = write_limit(RateLimit(inf, 950, 990), 0, 1000)
     arrived_at = 1200
     state = make_fleet('a')
     state, _ = decide(state, LimitAdvertised('a', known), 1000)
-    told = LimitAdvertised('a', read_limit(ended, arrived_at))
-    assert decide(state, told, arrived_at) == (state, ())
+    report = LimitAdvertised('a', read_limit(ended, arrived_at))
+    assert decide(state, report, arrived_at) == (state, ())
 
 
-def test_another_life_has_another_limit() -> None:
+def test_each_incarnation_has_its_own_limit() -> None:
     state = make_fleet('a', born=2)
-    named = RateLimit(3, 100, 200)
-    assert decide(state, LimitAdvertised('a', named, born=1), 200) == (
+    announced = RateLimit(3, 100, 200)
+    assert decide(state, LimitAdvertised('a', announced, born=1), 200) == (
         state,
         (),
     )
-    state, _ = decide(state, LimitAdvertised('a', named, born=2), 200)
+    state, _ = decide(state, LimitAdvertised('a', announced, born=2), 200)
     state, _ = decide(state, EntryWritten(make_entry('a', born=3)), 300)
     assert not state.upstreams_by_id['a'].rate_limit.limited
 
@@ -122,7 +122,7 @@
     assert state.upstreams_by_id['a'].rate_limit.per_second == 3
 
 
-def test_gate_lets_go_of_a_life_that_is_over() -> None:
+def test_gate_drops_an_ended_incarnation() -> None:
     fleet = Fleet(VirtualClock(), 'west', 1)
     fleet.dispatch(EntryWritten(make_entry('a', born=1)))
     fleet.dispatch(LimitAdvertised('a', RateLimit(3, 0, 0), born=1))
@@ -131,9 +131,9 @@
     assert fleet.limits.gate.find('a') is None
 
 
-def test_a_domain_tells_the_newest_of_what_its_instances_were_named() -> None:
+def test_a_domain_publishes_the_newest_limits_of_its_instances() -> None:
     peer = LoadNews(1, 1, 0, PEERS[1], {})
-    heard = [
+    received = [
         ReceivedNews(replace(peer, limits={'a': LimitNews(6, 900, 800)}), 2000),
         ReceivedNews(replace(peer, limits={'b': LimitNews(2, 50, 40)}), 2000),
         ReceivedNews(
@@ -141,7 +141,7 @@
         ),
     ]
     own = {'b': LimitNews(9, 900, 800)}
-    merged = merge_limit_news(own, heard, 2000)
+    merged = merge_limit_news(own, received, 2000)
     assert {name: each.per_second for name, each in merged.items()} == {
         'a': 1.6,
         'b': 2,
@@ -149,12 +149,12 @@
     assert merged['a'].answered_ago == 190
 
 
-def test_offers_are_added_where_all_tell_them() -> None:
+def test_demand_is_summed_where_all_report_it() -> None:
     assert sum_demand([{'s': 1, 't': 2}, {'s': 3}]) == {'s': 4}
     assert not sum_demand([])
 
 
-def test_sharers_of_a_small_system_are_all_that_are_listed() -> None:
+def test_participants_of_a_small_system_are_all_listed_instances() -> None:
     few = PEERS[:3]
     state = make_state(few, offers={'s': 2.0})
     participants = find_limit_participants(state, OWN, {'s': 1.0}, 0)
@@ -169,7 +169,7 @@
     }
 
 
-def test_sharers_of_a_large_system_are_domains_first() -> None:
+def test_participants_of_a_large_system_are_grouped_by_domain() -> None:
     state = make_state(offers={'s': 2.0})
     participants = find_limit_participants(state, OWN, {'s': 1.0}, 0)
     assert participants.own_group == 'east'
@@ -179,13 +179,13 @@
         'north': None,
         'west': None,
     }
-    state = hear_domains(state, OWN, offers={'s': 8.0})
+    state = apply_domain_news(state, OWN, offers={'s': 8.0})
     participants = find_limit_participants(state, OWN, {'s': 1.0}, 0)
     assert participants.groups['west'] == {'s': 8}
 
 
 @pytest.mark.parametrize('store_is_away', [False, True])
-async def test_a_peer_that_was_never_answered_keeps_to_a_limit(
+async def test_a_peer_without_responses_obeys_a_limit(
     *, store_is_away: bool
 ) -> None:
     async with open_platform(engines=0, plains=1, instances=2) as stage:
@@ -205,37 +205,37 @@
             await ask(stage, f'r-{number}')
 
 
-def test_who_sends_nothing_hears_of_an_end_by_later_answers() -> None:
-    """The first answer without a limit may be older than the last with one.
+def test_an_idle_instance_learns_of_an_end_by_later_responses() -> None:
+    """The first response without a limit may predate the last with one.
 
-    Seen in review: an instance without a permit kept a limit for ever, since
-    the one end that it was told was asked for 10 ms after the limit was named.
+    An instance without a permit kept a limit forever, since the request of the
+    only end reported to it was sent 10 ms after the limit was announced.
     """
     clock = VirtualClock(10_000)
-    teller = Fleet(clock, 'west', 1)
-    teller.dispatch(EntryWritten(make_entry('a')))
-    advisories = AdvisoryRecorder(teller, clock)
-    writer = NewsWriter(PEERS[1], teller, clock, bool, bool)
+    sender = Fleet(clock, 'west', 1)
+    sender.dispatch(EntryWritten(make_entry('a')))
+    advisories = AdvisoryRecorder(sender, clock)
+    writer = NewsWriter(PEERS[1], sender, clock, bool, bool)
     known = make_fleet('a')
     began = clock.now()
     for limit in (3.1, *[inf] * 60):
         asked_at = clock.now()
         clock.advance(50)
         advisories.record('a', Advisory(limit=limit), 'r', asked_at)
-        for told in writer.list_limits().values():
-            named = LimitAdvertised('a', read_limit(told, clock.now()))
-            known, _ = decide(known, named, clock.now())
+        for report in writer.list_limits().values():
+            announced = LimitAdvertised('a', read_limit(report, clock.now()))
+            known, _ = decide(known, announced, clock.now())
         if limit == inf and not known.upstreams_by_id['a'].rate_limit.limited:
             break
     assert clock.now() - began <= LATER
-    # It is not told for ever.
+    # The end is not reported forever.
     clock.advance(4000)
     advisories.record('a', Advisory(limit=inf), 'r', clock.now() - 10)
     assert not writer.list_limits()
 
 
-def test_a_limit_that_nobody_names_any_more_lapses() -> None:
-    """Whoever was cut off as it ended, and has no permit, hears of no end."""
+def test_a_limit_that_is_no_longer_announced_lapses() -> None:
+    """An instance cut off at the end, without a permit, learns of no end."""
     state = make_fleet('a')
     state, _ = decide(state, LimitAdvertised('a', RateLimit(3, 0, 0)), 0)
     before = LIMIT_KEPT_MS - 1
--- a/tests/test_news.py
+++ b/tests/test_news.py
@@ -1,4 +1,4 @@
-"""News: newer messages replace older ones, in any order of arrival."""
+"""News of single instances: ordering of messages, roles and their takeover."""
 
 from dataclasses import replace
 
@@ -42,41 +42,41 @@
     return NewsArrived('p', news)
 
 
-def hear(state: NewsState, message, now: int = 0, version: int = 3):
+def apply(state: NewsState, message, now: int = 0, version: int = 3):
     return decide(state, message, now, version)
 
 
 def test_older_messages_change_nothing() -> None:
-    state, actions = hear(NewsState(), make_news(5))
+    state, actions = apply(NewsState(), make_news(5))
     assert actions == (ApplyLoads('p', {'u': Load(runs=5)}),)
-    assert hear(state, make_news(4)) == (state, ())
-    assert hear(state, make_news(5)) == (state, ())
-    _, actions = hear(state, make_news(1, boot=2))
+    assert apply(state, make_news(4)) == (state, ())
+    assert apply(state, make_news(5)) == (state, ())
+    _, actions = apply(state, make_news(1, boot=2))
     assert actions == (ApplyLoads('p', {'u': Load(runs=1)}),)
 
 
-def test_leaving_upstreams_are_taken_over() -> None:
-    _, actions = hear(NewsState(), make_news(1, leaving=('x', 'y')))
+def test_leaving_upstreams_are_applied() -> None:
+    _, actions = apply(NewsState(), make_news(1, leaving=('x', 'y')))
     assert actions[1:] == (ApplyLeaving('x'), ApplyLeaving('y'))
 
 
 def test_newer_configuration_is_fetched_from_its_holder() -> None:
-    state, actions = hear(NewsState(), make_news(1), version=2)
+    state, actions = apply(NewsState(), make_news(1), version=2)
     assert actions[-1] == FetchTable(PEER)
     assert state.peers_by_name == {'p': PEER}
-    state, _ = hear(NewsState(), PeerListed(PEER))
-    _, actions = hear(state, make_news(1), version=4)
+    state, _ = apply(NewsState(), PeerListed(PEER))
+    _, actions = apply(state, make_news(1), version=4)
     assert len(actions) == 1
 
 
-def test_silence_is_told_from_never_having_heard() -> None:
+def test_silence_requires_earlier_news() -> None:
     assert not is_silent(NewsState(), 10**6)
-    state, _ = hear(NewsState(), make_news(1), now=100)
+    state, _ = apply(NewsState(), make_news(1), now=100)
     assert not is_silent(state, 100 + SILENT_MS)
     assert is_silent(state, 101 + SILENT_MS)
 
 
-def test_each_upstream_has_one_keeper() -> None:
+def test_each_upstream_has_one_prober() -> None:
     names = [f'front-{number}' for number in range(8)]
     peers = [replace(PEER, name=name) for name in names]
     states = {name: NewsState() for name in names}
@@ -85,7 +85,7 @@
             if other != peer:
                 news = LoadNews(1, 1, 3, other, {})
                 arrived = NewsArrived(other.name, news)
-                states[peer.name] = hear(states[peer.name], arrived)[0]
+                states[peer.name] = apply(states[peer.name], arrived)[0]
 
     def probers(upstream: str, now: int) -> list[str]:
         return [
@@ -94,30 +94,32 @@
             if is_prober(states[peer.name], peer, upstream, 'west', now)
         ]
 
-    kept = {upstream: probers(upstream, 0) for upstream in 'abcdefgh'}
-    assert all(len(names) == 1 for names in kept.values())
-    assert len({names[0] for names in kept.values()}) > 2
-    # Who hears nobody asks everybody.
+    probers_by_upstream = {
+        upstream: probers(upstream, 0) for upstream in 'abcdefgh'
+    }
+    assert all(len(names) == 1 for names in probers_by_upstream.values())
+    assert len({names[0] for names in probers_by_upstream.values()}) > 2
+    # An instance without recent news polls all upstreams itself.
     assert len(probers('a', SILENT_MS + 1)) == len(peers)
 
 
 def test_alive_peers_are_counted_until_they_fall_silent() -> None:
-    state, _ = hear(NewsState(), make_news(1), now=0)
+    state, _ = apply(NewsState(), make_news(1), now=0)
     assert count_alive(state, ALIVE_MS) == 1
     assert count_alive(state, ALIVE_MS + 1) == 0
     assert list_recipients(state, OWN, FORGET_MS) == [PEER]
     assert not list_recipients(state, OWN, FORGET_MS + 1)
-    state, _ = hear(state, PeerRemoved('p'))
+    state, _ = apply(state, PeerRemoved('p'))
     assert not state.peers_by_name
 
 
-def test_a_few_watch_and_others_take_over_from_the_silent() -> None:
+def test_a_few_watch_and_others_replace_silent_watchers() -> None:
     names = [f'front-{number}' for number in range(12)]
     news = LoadNews(1, 1, 3, PEER, {})
     state = NewsState()
     for name in names:
         own = replace(news, peer=replace(PEER, name=name))
-        state, _ = hear(state, NewsArrived(name, own), now=0)
+        state, _ = apply(state, NewsArrived(name, own), now=0)
 
     def watchers(now: int) -> list[str]:
         peers = [replace(PEER, name=name) for name in names]
@@ -128,27 +130,27 @@
 
     first = watchers(0)
     assert len(first) == WATCHERS
-    told = state.received_by_name[first[0]].news
-    lost = replace(told, number=2, store_lost=True)
-    state, _ = hear(state, NewsArrived(first[0], lost), now=10)
+    received = state.received_by_name[first[0]].news
+    lost = replace(received, number=2, store_lost=True)
+    state, _ = apply(state, NewsArrived(first[0], lost), now=10)
     assert len(set(watchers(10)) - {first[0]}) == WATCHERS
     assert watchers(SILENT_MS + 11) == names
 
 
-def test_entries_travel_in_news() -> None:
+def test_entries_in_news_are_applied() -> None:
     entry = UpstreamEntry('i', 's', 'a:1', 'west', 4)
-    _, actions = hear(NewsState(), make_news(1, entries=(entry,)))
+    _, actions = apply(NewsState(), make_news(1, entries=(entry,)))
     assert actions[1] == ApplyEntry(entry)
 
 
-def test_what_several_can_not_reach_is_avoided() -> None:
-    state, actions = hear(NewsState(), make_news(1, unreachable=('x',)))
+def test_upstreams_unreachable_for_several_are_avoided() -> None:
+    state, actions = apply(NewsState(), make_news(1, unreachable=('x',)))
     assert AvoidUpstream('x') not in actions
     second = replace(make_news(1, unreachable=('x', 'y')), sender='q')
-    state, actions = hear(state, second)
+    state, actions = apply(state, second)
     assert AvoidUpstream('x') in actions
     assert AvoidUpstream('y') not in actions
-    # What was told long ago counts no more.
+    # Reports expire once their sender has been silent.
     third = replace(make_news(1, unreachable=('x',)), sender='r')
-    _, actions = hear(state, third, now=SILENT_MS + 1)
+    _, actions = apply(state, third, now=SILENT_MS + 1)
     assert AvoidUpstream('x') not in actions
