--- a/src/cartdale/quarantine/__init__.py
+++ b/src/cartdale/quarantine/__init__.py
@@ -1,1 +1,1 @@
-"""Quarantine: requests that end the upstreams which begin to run them."""
+"""Quarantine of requests that crash the upstreams that begin to run them."""
--- a/src/cartdale/quarantine/decide.py
+++ b/src/cartdale/quarantine/decide.py
@@ -1,8 +1,8 @@
-"""Decide which requests are sent to no upstream any more.
+"""State machine that decides which requests are quarantined.
 
-Evidence is a set: each crash counts once, whoever saw it and in whatever order
-it is told. Of the times at which a request ran on the latest counts. So
-instances that were told the same decide the same.
+Evidence is a set: each crash counts once, whichever instance observed it and in
+whatever order reports arrive. Of the times at which a request survived, the
+latest counts. Instances with the same reports therefore decide the same.
 """
 
 from collections.abc import Iterable
@@ -11,7 +11,7 @@
 
 from cartdale.clock import Millis
 from cartdale.quarantine.evidence import (
-    KEPT,
+    EVIDENCE_RETENTION,
     add_crash,
     find_newest,
     is_recent,
@@ -37,49 +37,48 @@
     UpstreamEnded,
 )
 
-#: Upstreams that may end under a request before it is refused. One ends for
-#: reasons of its own; two that do under the same request, one after the
-#: other, are chance where many end; platforms allow three.
+#: Upstream crashes during a request after which it is refused. One crash may
+#: have another cause; two in succession with the same request occur by chance
+#: where many upstreams crash. Platforms allow three.
 CRASHES_TO_QUARANTINE = 3
-#: Events after which a run is past its beginning, and its request cleared: a
-#: request that an upstream can't bear ends it while its prompt is read or its
-#: first tokens are made. What an upstream dies of later takes everyone with
-#: it, most of them long past this.
+#: Events after which a run counts as survived. A request that crashes upstreams
+#: does so during prefill or the first tokens. A later crash ends all runs of
+#: the upstream, most of which are long past this number.
 EVENTS_PAST_START = 10
-#: Requests with evidence that are remembered, about 1 KB each. One engine
-#: that ends leaves evidence against as many as it had slots.
-MOST_IDENTITIES = 1024
+#: Maximum number of requests with evidence, about 1 KB each. The crash of one
+#: engine adds evidence against as many requests as it has slots.
+MAX_IDENTITIES = 1024
 
 _UNKNOWN = RequestRecord()
 
 
 def decide(state: QuarantineState, message: Message, now: Millis) -> Decision:
-    """Take one message.
+    """Apply one message.
 
     :param now: monotonic milliseconds.
     """
     after = _change(state, message, now)
     if after is state:
         return state, ()
-    return after, _compare(state, after, _name_concerned(state, message))
+    return after, _list_actions(state, after, _list_affected(state, message))
 
 
 def list_crashes(
     state: QuarantineState, identity: Identity
 ) -> tuple[Evidence, ...]:
-    """Return the crashes that speak against a request."""
+    """Return the crashes that count against a request."""
     return list_valid(state.records_by_identity.get(identity, _UNKNOWN))
 
 
 def is_quarantined(state: QuarantineState, identity: Identity) -> bool:
-    """Tell whether a request is sent to no upstream any more."""
+    """Return whether a request is quarantined and sent to no upstream."""
     return len(list_crashes(state, identity)) >= CRASHES_TO_QUARANTINE
 
 
 def find_end(state: QuarantineState, identity: Identity) -> Millis:
-    """Return when what is known of a request is forgotten."""
+    """Return when the record of a request expires."""
     record = state.records_by_identity.get(identity)
-    return KEPT + find_newest(record) if record else 0
+    return EVIDENCE_RETENTION + find_newest(record) if record else 0
 
 
 def _change(
@@ -88,21 +87,21 @@
     match message:
         case UpstreamEnded(crash=crash, sent_at=sent_at, begun=begun):
             if begun:
-                crash = _tell_lives_apart(state, crash, sent_at)
+                crash = _distinguish_incarnation(state, crash, sent_at)
             return _add(state, Evidence(crash, now), now)
         case CrashesTold(crashes=crashes):
-            for told in crashes:
-                state = _take(state, told, now)
+            for report in crashes:
+                state = _apply_report(state, report, now)
             return state
         case RanOn(identity=identity, ran_at=ran_at):
             return _note_run(state, identity, ran_at, now)
         case TimePassed():
-            return _forget(state, now)
+            return _drop_expired(state, now)
         case _:
             assert_never(message)
 
 
-def _name_concerned(
+def _list_affected(
     state: QuarantineState, message: Message
 ) -> Iterable[Identity]:
     """Return the requests that a message may quarantine or release."""
@@ -110,7 +109,7 @@
         case UpstreamEnded(crash=crash):
             return (crash.identity,)
         case CrashesTold(crashes=crashes):
-            return {told.identity for told in crashes}
+            return {report.identity for report in crashes}
         case RanOn(identity=identity):
             return (identity,)
         case TimePassed():
@@ -119,15 +118,16 @@
             assert_never(message)
 
 
-def _tell_lives_apart(
+def _distinguish_incarnation(
     state: QuarantineState, crash: Crash, sent_at: Millis
 ) -> Crash:
-    """Return a crash with a birth that no life had which ended before.
+    """Return the crash with a start time distinct from earlier incarnations.
 
-    An upstream may be back before its new birth is known here. If it began a
-    request after it had ended, then it has started again meanwhile; the next
-    number stands for the birth of that life. That it only took the connection
-    shows nothing: something before it may do so, and close.
+    An upstream may be back before its new start time is known here. If it began
+    a request after it had crashed, it has restarted in between, and the next
+    number stands for the start time of that incarnation. An accepted connection
+    alone proves nothing: a proxy in front of the upstream may accept and close
+    it.
     """
     record = state.records_by_identity.get(crash.identity, _UNKNOWN)
     ended = {each.crash for each in record.evidence if each.seen_at < sent_at}
@@ -136,25 +136,27 @@
     return crash
 
 
-def _take(
-    state: QuarantineState, told: CrashNews, now: Millis
+def _apply_report(
+    state: QuarantineState, report: CrashNews, now: Millis
 ) -> QuarantineState:
-    """Take one crash that a peer told, and when its request ran on."""
-    if told.age >= KEPT:
+    """Apply one crash that a peer reported, and its request's survival."""
+    if report.age >= EVIDENCE_RETENTION:
         return state
-    crash = Crash(told.identity, told.upstream, told.born)
-    state = _add(state, Evidence(crash, now - told.age), now)
-    if told.ran_age is None:
+    crash = Crash(report.identity, report.upstream, report.born)
+    state = _add(state, Evidence(crash, now - report.age), now)
+    if report.ran_age is None:
         return state
-    return _note_run(state, told.identity, now - told.ran_age, now)
+    return _note_run(state, report.identity, now - report.ran_age, now)
 
 
 def _add(
-    state: QuarantineState, found: Evidence, now: Millis
+    state: QuarantineState, evidence: Evidence, now: Millis
 ) -> QuarantineState:
-    identity = found.crash.identity
+    identity = evidence.crash.identity
     record = state.records_by_identity.get(identity, _UNKNOWN)
-    return _bound(_put(state, identity, add_crash(record, found, now)))
+    return _bound(
+        _replace_record(state, identity, add_crash(record, evidence, now))
+    )
 
 
 def _note_run(
@@ -163,10 +165,10 @@
     record = state.records_by_identity.get(identity)
     if record is None:
         return state
-    return _put(state, identity, note_run(record, ran_at, now))
+    return _replace_record(state, identity, note_run(record, ran_at, now))
 
 
-def _put(
+def _replace_record(
     state: QuarantineState, identity: Identity, record: RequestRecord
 ) -> QuarantineState:
     if state.records_by_identity.get(identity) is record:
@@ -174,21 +176,21 @@
     return QuarantineState({**state.records_by_identity, identity: record})
 
 
-def _forget(state: QuarantineState, now: Millis) -> QuarantineState:
-    kept = {
+def _drop_expired(state: QuarantineState, now: Millis) -> QuarantineState:
+    recent = {
         identity: record
         for identity, record in state.records_by_identity.items()
         if is_recent(record, now)
     }
-    if len(kept) == len(state.records_by_identity):
+    if len(recent) == len(state.records_by_identity):
         return state
-    return QuarantineState(kept)
+    return QuarantineState(recent)
 
 
 def _bound(state: QuarantineState) -> QuarantineState:
-    """Drop what speaks least against a request when there is too much."""
+    """Drop the request with the weakest evidence if there are too many."""
     records = state.records_by_identity
-    if len(records) <= MOST_IDENTITIES:
+    if len(records) <= MAX_IDENTITIES:
         return state
     weakest = min(records, key=lambda identity: weigh(records[identity]))
     remaining = dict(records)
@@ -196,14 +198,14 @@
     return QuarantineState(remaining)
 
 
-def _compare(
+def _list_actions(
     before: QuarantineState,
     after: QuarantineState,
-    concerned: Iterable[Identity],
+    affected: Iterable[Identity],
 ) -> tuple[Action, ...]:
-    """Return which requests were quarantined or released."""
+    """Return actions for the requests that were quarantined or released."""
     actions: list[Action] = []
-    for identity in sorted(concerned):
+    for identity in sorted(affected):
         was = is_quarantined(before, identity)
         if is_quarantined(after, identity) and not was:
             actions.append(Quarantined(identity))
--- a/src/cartdale/quarantine/driver.py
+++ b/src/cartdale/quarantine/driver.py
@@ -1,4 +1,4 @@
-"""Hold the evidence, and stop what waits once a request is quarantined."""
+"""Hold the evidence, and cancel pending work of quarantined requests."""
 
 from collections import OrderedDict
 from collections.abc import Callable
@@ -34,17 +34,17 @@
     UpstreamEnded,
 )
 
-#: Between looks at what is too old, which cost 2 ms where the most is known.
-_FORGET_EVERY: Millis = 5 * SECOND_MS
-#: Requests that ran on here which are remembered, about 150 bytes each: those
-#: of some minutes, and whatever is asked for again and again.
-MOST_RAN = 4096
+#: Time between checks for expired evidence; one takes 2 ms on a full table.
+_FORGET_INTERVAL: Millis = 5 * SECOND_MS
+#: Maximum number of requests whose survival here is remembered, about 150 bytes
+#: each: those of some minutes, and those that are repeated often.
+MAX_SURVIVALS = 4096
 
 
 class Guard:
-    """Cancel what is done inside once a request is quarantined.
+    """Cancel the work inside the context once a request is quarantined.
 
-    :param guards_by_identity: all that are entered.
+    :param guards_by_identity: registry of all active guards.
     """
 
     def __init__(
@@ -57,7 +57,7 @@
         self._scope = trio.CancelScope()
 
     def __enter__(self) -> Self:
-        """Begin to cancel."""
+        """Register the guard and enter its cancel scope."""
         guards = self._guards_by_identity.setdefault(self._identity, [])
         guards.append(self)
         self._scope.__enter__()
@@ -69,17 +69,17 @@
         error: BaseException | None,
         trace: TracebackType | None,
     ) -> bool:
-        """Cancel nothing any more."""
+        """Unregister the guard and leave its cancel scope."""
         self.release()
         return self._scope.__exit__(kind, error, trace)
 
     @property
     def stopped(self) -> bool:
-        """Tell whether it cancelled what was done."""
+        """Return whether the guard cancelled its work."""
         return self._scope.cancelled_caught
 
     def release(self) -> None:
-        """Cancel nothing from here on."""
+        """Unregister the guard, so that it no longer cancels."""
         guards = self._guards_by_identity.get(self._identity, [])
         if self in guards:
             guards.remove(self)
@@ -87,7 +87,7 @@
             self._guards_by_identity.pop(self._identity, None)
 
     def stop(self) -> None:
-        """Cancel what is done."""
+        """Cancel the guarded work."""
         self._scope.cancel()
 
 
@@ -95,67 +95,68 @@
 
 
 class Quarantine:
-    """Hold the evidence against requests that end upstreams.
+    """Hold the evidence against requests that crash upstreams.
 
-    :param announce: called when there is something to tell peers.
+    :param announce: called when there is something to publish to peers.
     """
 
     def __init__(self, clock: Clock, announce: Callable[[], None]) -> None:
         self._clock = clock
         self._announce = announce
-        self._turn = 0
-        self._forgets_at: Millis = 0
-        #: Called with a request that this instance found out about itself.
-        self.on_found: Callable[[Identity], None] | None = None
-        #: When requests ran on here, the latest last.
+        self._message_count = 0
+        self._next_forget_at: Millis = 0
+        #: Called with a request whose quarantine changed by an observation of
+        #: this instance.
+        self.on_observed: Callable[[Identity], None] | None = None
+        #: Times at which requests survived here, the latest last.
         self._ran_at_by_identity: OrderedDict[Identity, Millis] = OrderedDict()
         self._guards_by_identity: GuardsByIdentity = {}
         self.state = QuarantineState()
-        #: Counts the changes of the evidence, for news.
+        #: Version of the evidence, counted up on each change, for news.
         self.version = 0
 
     def dispatch(self, message: Message) -> None:
-        """Take one message and act on what follows from it."""
+        """Apply one message and perform the resulting actions."""
         before = self.state
         after, actions = decide(before, message, self._clock.now())
         self.state = after
         if after is before:
             return
-        self._clear_what_ran(message)
+        self._record_known_survivals(message)
         self.version += 1
         self._announce()
         for action in actions:
-            self._act(action, message)
+            self._perform(action, message)
 
     @property
     def guarded(self) -> tuple[Identity, ...]:
-        """Return the requests of which something would be cancelled."""
+        """Return the requests that have active guards."""
         return tuple(self._guards_by_identity)
 
     def is_quarantined(self, identity: Identity) -> bool:
-        """Tell whether a request is sent to no upstream any more."""
+        """Return whether a request is quarantined and sent to no upstream."""
         return is_quarantined(self.state, identity)
 
     def is_suspect(self, identity: Identity) -> bool:
-        """Tell whether one more crash quarantines a request, or has."""
+        """Return whether a request is quarantined or one crash short of it."""
         return (
             len(list_crashes(self.state, identity)) >= CRASHES_TO_QUARANTINE - 1
         )
 
     def time_left(self, identity: Identity) -> Millis:
-        """Return how long a request stays quarantined without new evidence."""
+        """Return the time until the quarantine ends without new evidence."""
         return max(find_end(self.state, identity) - self._clock.now(), 0)
 
     def find_refusal(
         self, identity: Identity, request_id: str
     ) -> NotRun | None:
-        """Return why a request is sent to no upstream, if it is not."""
+        """Return the refusal of a quarantined request, otherwise ``None``."""
         if not self.is_quarantined(identity):
             return None
         return self.refuse(identity, request_id)
 
     def refuse(self, identity: Identity, request_id: str) -> NotRun:
-        """Return what the caller of a quarantined request is told."""
+        """Return the problem sent to the caller of a quarantined request."""
         left = self.time_left(identity)
         logger.info(
             'request barred',
@@ -167,7 +168,7 @@
         return NotRun(NotRunReason.QUARANTINED, left)
 
     def list_ended(self, identity: Identity) -> tuple[str, ...]:
-        """Return the upstreams that ended under a request."""
+        """Return the upstreams that crashed while running a request."""
         crashes = list_crashes(self.state, identity)
         return tuple(each.crash.upstream for each in crashes)
 
@@ -176,52 +177,52 @@
         return sum(map(self.is_quarantined, self.state.records_by_identity))
 
     def record_crash(self, ended: UpstreamEnded, events: int) -> None:
-        """Take an upstream's end as evidence, unless the run went on there.
+        """Record an upstream's crash unless the run had survived its start.
 
-        :param events: that had come of the run.
+        :param events: number of events received from the run.
         """
         if events <= EVENTS_PAST_START:
             self.dispatch(ended)
 
     def record_survival(self, identity: Identity) -> None:
-        """Note that a request ran without ending its upstream."""
+        """Record that a request ran without crashing its upstream."""
         now = self._clock.now()
         self._ran_at_by_identity[identity] = now
         self._ran_at_by_identity.move_to_end(identity)
-        if len(self._ran_at_by_identity) > MOST_RAN:
+        if len(self._ran_at_by_identity) > MAX_SURVIVALS:
             self._ran_at_by_identity.popitem(last=False)
         if identity in self.state.records_by_identity:
             self.dispatch(RanOn(identity, now))
 
     def describe(self, identity: Identity) -> tuple[CrashNews, ...]:
-        """Return all that is known of one request."""
+        """Return the recorded crashes of one request, in the form for peers."""
         now = self._clock.now()
         record = self.state.records_by_identity.get(identity, RequestRecord())
         return tuple(describe(record, each, now) for each in record.evidence)
 
     def list_news(self) -> tuple[CrashNews, ...]:
-        """Return what to tell peers next."""
-        self._turn += 1
-        return select_news(self.state, self._clock.now(), self._turn)
+        """Return the crashes for the next message to peers."""
+        self._message_count += 1
+        return select_news(self.state, self._clock.now(), self._message_count)
 
     def guard(self, identity: Identity) -> Guard:
-        """Return what cancels a thing that is done for a request."""
+        """Return a guard that cancels work for a request."""
         return Guard(identity, self._guards_by_identity)
 
     def forget(self) -> None:
-        """Forget what is too old."""
+        """Drop expired evidence, at most once per interval."""
         now = self._clock.now()
-        if self.state.records_by_identity and now >= self._forgets_at:
-            self._forgets_at = now + _FORGET_EVERY
+        if self.state.records_by_identity and now >= self._next_forget_at:
+            self._next_forget_at = now + _FORGET_INTERVAL
             self.dispatch(TimePassed())
 
-    def _act(self, action: Action, cause: Message) -> None:
-        """Act on what follows from a message, unless that was cleared."""
+    def _perform(self, action: Action, cause: Message) -> None:
+        """Perform an action unless a recorded survival has reversed it."""
         identity = action.identity
         if isinstance(action, Quarantined) is not self.is_quarantined(identity):
             return
-        if isinstance(cause, UpstreamEnded | RanOn) and self.on_found:
-            self.on_found(identity)
+        if isinstance(cause, UpstreamEnded | RanOn) and self.on_observed:
+            self.on_observed(identity)
         match action:
             case Quarantined():
                 self._stop(identity)
@@ -232,16 +233,16 @@
                     message=type(cause).__name__,
                 )
 
-    def _clear_what_ran(self, message: Message) -> None:
-        """Clear requests in a message that ran on here lately."""
+    def _record_known_survivals(self, message: Message) -> None:
+        """Record the survival here of requests in a crash message."""
         match message:
             case UpstreamEnded(crash=crash):
-                accused = {crash.identity}
+                identities = {crash.identity}
             case CrashesTold(crashes=crashes):
-                accused = {told.identity for told in crashes}
+                identities = {report.identity for report in crashes}
             case _:
                 return
-        for identity in accused:
+        for identity in identities:
             ran_at = self._ran_at_by_identity.get(identity)
             if ran_at is not None:
                 self.dispatch(RanOn(identity, ran_at))
--- a/src/cartdale/quarantine/persistence.py
+++ b/src/cartdale/quarantine/persistence.py
@@ -1,8 +1,9 @@
-"""Keep quarantined requests in the platform's store.
+"""Persist quarantined requests in the platform's store.
 
-Instances tell each other of crashes; only the store outlasts the loss of all of
-them at once. Who saw the crash that decided writes, so that a quarantined
-request costs two calls, whatever the number of instances.
+Instances report crashes to each other; only the store survives the loss of all
+instances at once. The instance that observed the deciding crash writes the
+record, so a quarantined request costs two calls, whatever the number of
+instances.
 """
 
 from dataclasses import dataclass
@@ -20,19 +21,20 @@
 from cartdale.store.types import Delete, LeasedStore, Put
 
 PREFIX = 'cartdale/quarantine/'
-#: The store forgets by itself, within the longest lease that platforms give.
-_LEASE: Millis = 9 * MINUTE_MS
-#: Between tries while the store does not answer.
-_RETRY_EVERY: Millis = SECOND_MS
-#: Requests that wait to be written; more at once are not written.
-_MOST_WAITING = 64
+#: The store drops records by itself when the lease expires. This is within the
+#: longest lease that platforms grant.
+_LEASE_DURATION: Millis = 9 * MINUTE_MS
+#: Time between attempts while the store does not respond.
+_RETRY_INTERVAL: Millis = SECOND_MS
+#: Maximum number of requests waiting to be written; further ones are dropped.
+_MAX_PENDING = 64
 
 
 @dataclass(frozen=True, slots=True)
 class StoredRecord:
-    """Hold what the store keeps of a quarantined request.
+    """Stored record of a quarantined request.
 
-    :param written_at: wall time when it was written; ages count to then.
+    :param written_at: wall time of the write; ages are relative to it.
     """
 
     written_at: Millis
@@ -40,9 +42,9 @@
 
 
 class PersistentQuarantine:
-    """Write to the store what this instance found out, and read it.
+    """Write quarantines observed by this instance, and restore stored ones.
 
-    :param store: where it lasts.
+    :param store: store that holds the records.
     """
 
     def __init__(
@@ -51,31 +53,31 @@
         self._store = store
         self._quarantine = quarantine
         self._clock = clock
-        ends = trio.open_memory_channel[Identity](_MOST_WAITING)
-        self._put = ends[0]
-        self._take = ends[1]
-        quarantine.on_found = self._add
-        #: What this instance wrote and still holds.
+        channel = trio.open_memory_channel[Identity](_MAX_PENDING)
+        self._sender = channel[0]
+        self._receiver = channel[1]
+        quarantine.on_observed = self._enqueue
+        #: Requests whose record this instance wrote and has not removed.
         self._written: set[Identity] = set()
 
     async def run(self) -> None:
-        """Write what is found out, one after another, for ever."""
-        async for identity in self._take:
+        """Write changed quarantines one by one; runs until cancelled."""
+        async for identity in self._receiver:
             while not await self._write(identity):
-                await trio.sleep(as_seconds(_RETRY_EVERY))
+                await trio.sleep(as_seconds(_RETRY_INTERVAL))
 
     def write_again(self) -> None:
-        """Write once more what this instance had written: it may be gone."""
+        """Rewrite the records of this instance, which may have been lost."""
         for identity in sorted(self._written):
-            self._add(identity)
+            self._enqueue(identity)
 
     def restore(self, key: str, stored: bytes) -> None:
-        """Take what an instance wrote.
+        """Apply a stored record.
 
-        Where it is known by now that the request ran on, what was written is
-        removed: whoever wrote it may not live to hear of that.
+        If the request is known to have survived since, the record is removed,
+        because the instance that wrote it may end before it learns of that.
 
-        :param stored: empty when it was removed.
+        :param stored: contents of the record; empty if it was removed.
         """
         if not key.startswith(PREFIX) or not stored:
             return
@@ -84,27 +86,29 @@
         except msgspec.MsgspecError as error:
             logger.error('quarantine unreadable', key=key, detail=str(error))
             return
-        passed = max(self._clock.wall_time() - record.written_at, 0)
-        crashes = tuple(_grow_older(each, passed) for each in record.crashes)
+        elapsed = max(self._clock.wall_time() - record.written_at, 0)
+        crashes = tuple(
+            _increase_ages(each, elapsed) for each in record.crashes
+        )
         self._quarantine.dispatch(CrashesTold(crashes))
         for identity in sorted({each.identity for each in crashes}):
             if not self._quarantine.is_quarantined(identity):
-                self._add(identity)
+                self._enqueue(identity)
 
-    def _add(self, identity: Identity) -> None:
+    def _enqueue(self, identity: Identity) -> None:
         try:
-            self._put.send_nowait(identity)
+            self._sender.send_nowait(identity)
         except trio.WouldBlock:
             logger.warning('quarantine not stored', identity=identity.hex())
 
     async def _write(self, identity: Identity) -> bool:
-        """Write how a request stands now; tell whether the store took it."""
+        """Write the status of a request; return whether it was stored."""
         key = f'{PREFIX}{identity.hex()}'
         if not self._quarantine.is_quarantined(identity):
             self._written.discard(identity)
             removed = await self._store.transact((), (Delete(key),))
             return isinstance(removed, Success)
-        granted = await self._store.grant(_LEASE)
+        granted = await self._store.grant(_LEASE_DURATION)
         if not isinstance(granted, Success):
             return False
         record = StoredRecord(
@@ -118,6 +122,8 @@
         return isinstance(written, Success)
 
 
-def _grow_older(told: CrashNews, passed: Millis) -> CrashNews:
-    ran_age = None if told.ran_age is None else told.ran_age + passed
-    return msgspec.structs.replace(told, age=told.age + passed, ran_age=ran_age)
+def _increase_ages(crash: CrashNews, elapsed: Millis) -> CrashNews:
+    ran_age = None if crash.ran_age is None else crash.ran_age + elapsed
+    return msgspec.structs.replace(
+        crash, age=crash.age + elapsed, ran_age=ran_age
+    )
--- a/src/cartdale/quarantine/publishing.py
+++ b/src/cartdale/quarantine/publishing.py
@@ -1,4 +1,4 @@
-"""Choose what to tell peers of the evidence against requests."""
+"""Select the evidence against requests to publish to peers."""
 
 from dataclasses import dataclass
 from itertools import chain, islice
@@ -12,19 +12,20 @@
     RequestRecord,
 )
 
-#: Crashes in one message to a peer; bounds its size.
-PAGE = 8
-#: Crashes are told for so long after something changed; after that in turns,
-#: and only of requests under which several upstreams ended. Those that ran on
-#: are among them: one who hears only of the crashes would blame the request.
-_TOLD_FRESH: Millis = 3 * SECOND_MS
+#: Maximum number of crashes in one message to a peer; bounds its size.
+PAGE_SIZE = 8
+#: Time after a change in which each message includes the crashes of a request.
+#: Later they are sent in turns, and only for requests that crashed several
+#: upstreams. These include requests that survived since: a peer that receives
+#: only the crashes would count them against the request.
+_FRESH_DURATION: Millis = 3 * SECOND_MS
 
 
 @dataclass(frozen=True, slots=True)
-class _Told:
-    """Rank a request of which something was learnt of late.
+class _RankedRecord:
+    """Rank a request whose record changed recently.
 
-    :param crashes: that speak against it.
+    :param crashes: number of crashes that count against it.
     """
 
     crashes: int
@@ -34,41 +35,39 @@
 def select_news(
     state: QuarantineState, now: Millis, turn: int
 ) -> tuple[CrashNews, ...]:
-    """Return what to tell a peer next.
+    """Return the crashes for the next message to a peer.
 
-    What was learnt of late goes first, of the most suspected foremost; the
-    rest comes in turns, for instances that were cut off or suspended.
+    Recent changes come first, ordered by the number of crashes; the remaining
+    records follow in turns, for instances that were cut off or suspended.
 
-    :param turn: counts the messages.
+    :param turn: sequence number of the message.
     """
-    fresh: list[_Told] = []
+    fresh: list[_RankedRecord] = []
     settled: list[RequestRecord] = []
     for record in state.records_by_identity.values():
-        if now - record.changed_at <= _TOLD_FRESH:
-            fresh.append(_Told(len(list_valid(record)), record))
+        if now - record.changed_at <= _FRESH_DURATION:
+            fresh.append(_RankedRecord(len(list_valid(record)), record))
         elif len(record.evidence) > 1:
             settled.append(record)
     fresh.sort(key=_urgency, reverse=True)
-    begin = turn % max(len(settled), 1)
+    start = turn % max(len(settled), 1)
     ranked = chain(
-        (told.record for told in fresh),
-        islice(settled, begin, None),
-        islice(settled, begin),
+        (ranked_record.record for ranked_record in fresh),
+        islice(settled, start, None),
+        islice(settled, start),
     )
     news: list[CrashNews] = []
-    for suspected in ranked:
-        news.extend(
-            describe(suspected, each, now) for each in suspected.evidence
-        )
-        if len(news) >= PAGE:
+    for selected in ranked:
+        news.extend(describe(selected, each, now) for each in selected.evidence)
+        if len(news) >= PAGE_SIZE:
             break
-    return tuple(news[:PAGE])
+    return tuple(news[:PAGE_SIZE])
 
 
 def describe(
     record: RequestRecord, evidence: Evidence, now: Millis
 ) -> CrashNews:
-    """Return what to tell of a crash."""
+    """Convert a crash for a message to peers."""
     crash = evidence.crash
     return CrashNews(
         identity=crash.identity,
@@ -79,5 +78,5 @@
     )
 
 
-def _urgency(told: _Told) -> tuple[int, Millis]:
-    return told.crashes, told.record.changed_at
+def _urgency(ranked_record: _RankedRecord) -> tuple[int, Millis]:
+    return ranked_record.crashes, ranked_record.record.changed_at
--- a/src/cartdale/quarantine/run_tracking.py
+++ b/src/cartdale/quarantine/run_tracking.py
@@ -1,4 +1,4 @@
-"""Watch how the runs of one request end, at one instance."""
+"""Track the outcomes of one request's runs at one instance."""
 
 from cartdale.clock import Millis
 from cartdale.problems.types import NotRun
@@ -8,9 +8,9 @@
 
 
 class RunTracker:
-    """Tell the quarantine of a request's runs, one after another.
+    """Report the successive runs of a request to the quarantine.
 
-    :param name: of the request, for logs.
+    :param name: id of the request, for logs.
     """
 
     def __init__(
@@ -22,23 +22,23 @@
         self._sent_at: Millis = 0
 
     def find_refusal(self) -> NotRun | None:
-        """Return why the request is sent to no upstream, if it is not."""
+        """Return the refusal of a quarantined request, otherwise ``None``."""
         return self._quarantine.find_refusal(self._identity, self._name)
 
     def note_sent(self, now: Millis) -> None:
-        """Note that a run begins."""
+        """Record that a run was sent."""
         self._sent_at = now
 
     def note_lost(self, upstream: str, begun: int = 0) -> None:
-        """Note that the run's upstream ended.
+        """Record that the run's upstream crashed.
 
-        :param begun: tokens that had come; past its beginning the run did not
-            end its upstream.
+        :param begun: number of tokens received; a run past its start is not
+            counted as the cause.
         """
         crash = Crash(self._identity, upstream)
         ended = UpstreamEnded(crash, self._sent_at, begun=True)
         self._quarantine.record_crash(ended, begun)
 
     def note_ran_on(self) -> None:
-        """Note that the run was answered, or is past its beginning."""
+        """Record that the run got a response or is past its start."""
         self._quarantine.record_survival(self._identity)
--- a/src/cartdale/quarantine/types.py
+++ b/src/cartdale/quarantine/types.py
@@ -10,11 +10,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Crash:
-    """An upstream ended as it began to run a request.
+    """An upstream crashed as it began to run a request.
 
     :param upstream: its id.
-    :param born: Unix milliseconds of the start that ended; an upstream may
-        come back under its id. 0 where upstreams don't tell.
+    :param born: start time of the incarnation that crashed, in Unix
+        milliseconds, since an upstream may restart under its id; 0 where
+        upstreams don't report one.
     """
 
     identity: Identity
@@ -24,9 +25,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Evidence:
-    """Hold a crash that this instance saw or was told of.
+    """Hold a crash that this instance observed or a peer reported.
 
-    :param seen_at: when the upstream ended, in monotonic milliseconds.
+    :param seen_at: when the upstream crashed, in monotonic milliseconds.
     """
 
     crash: Crash
@@ -35,12 +36,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestRecord:
-    """Hold what is known of one request.
+    """Hold the crashes and the latest survival of one request.
 
-    :param evidence: upstreams that ended under it, the oldest first.
-    :param ran_at: when it last ran on without ending its upstream, as far as
-        that is known; ``None`` for never.
-    :param changed_at: when this instance last learnt something of it.
+    :param evidence: crashes of upstreams that ran it, the oldest first.
+    :param ran_at: when it last ran without crashing its upstream, as far as
+        known; ``None`` for never.
+    :param changed_at: when the record last changed on this instance.
     """
 
     evidence: tuple[Evidence, ...] = ()
@@ -49,11 +50,12 @@
 
 
 class CrashNews(msgspec.Struct, frozen=True, array_like=True):
-    """Tell a peer of a crash, in at most 64 bytes.
+    """Report a crash to a peer, in at most 64 bytes.
 
-    :param age: milliseconds since the upstream ended: peers' clocks differ.
-    :param ran_age: milliseconds since the request last ran on elsewhere;
-        ``None`` when it never did.
+    :param age: milliseconds since the crash; an age, since peers' clocks
+        differ.
+    :param ran_age: milliseconds since the request last survived elsewhere;
+        ``None`` if it never did.
     """
 
     identity: Identity
@@ -65,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QuarantineState:
-    """Hold a record of each request under which an upstream ended."""
+    """Hold a record of each request that an upstream crashed on."""
 
     records_by_identity: dict[Identity, RequestRecord] = field(
         default_factory=dict
@@ -74,12 +76,12 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamEnded:
-    """This instance saw an upstream end.
+    """This instance observed the crash of an upstream.
 
     :param sent_at: when the request was sent there, in monotonic
         milliseconds.
     :param begun: whether the upstream showed that it had begun the request,
-        and so that it lived after it was sent.
+        which proves that it was alive after the request was sent.
     """
 
     crash: Crash
@@ -89,16 +91,16 @@
 
 @dataclass(frozen=True, slots=True)
 class CrashesTold:
-    """A peer told of crashes."""
+    """A peer reported crashes."""
 
     crashes: tuple[CrashNews, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class RanOn:
-    """A request was answered whole, or ran on past its beginning.
+    """A request got a complete response, or ran on past its start.
 
-    :param ran_at: when it did.
+    :param ran_at: time at which it did.
     """
 
     identity: Identity
@@ -107,19 +109,19 @@
 
 @dataclass(frozen=True, slots=True)
 class TimePassed:
-    """Forget what is too old."""
+    """Time has passed; drop expired evidence."""
 
 
 @dataclass(frozen=True, slots=True)
 class Quarantined:
-    """Tell that a request is sent to no upstream any more."""
+    """A request is quarantined and no longer sent to any upstream."""
 
     identity: Identity
 
 
 @dataclass(frozen=True, slots=True)
 class Released:
-    """Tell that a request may be sent again."""
+    """A request may be sent again."""
 
     identity: Identity
 
@@ -127,4 +129,4 @@
 Message = UpstreamEnded | CrashesTold | RanOn | TimePassed
 Action = Quarantined | Released
 Decision = tuple[QuarantineState, tuple[Action, ...]]
-"""The next state, and which requests are quarantined or released."""
+"""The next state, and the requests to quarantine or release."""
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -1,12 +1,12 @@
-"""A request that ends each upstream which begins to run it is sent no more.
-
-Seen: within 16 s seven engines ended, each 0.1 s after it had begun the same
-short query, and a minute later eight more; dozens of others' streams went with
-them. How it came about: the caller sent the query again and again, each time
-with a new id and mostly to another instance, and each instance sent it to the
-next engine that lived. Cause: what was known of attempts hung on the id of one
-submission and ended with it. Proof: in the logs all ends belong to one customer
-on one route, each id reached one engine and was not repeated by us.
+"""A request that crashes each upstream that begins to run it is quarantined.
+
+Guards against a failure in which seven engines crashed within 16 s, each 0.1 s
+after it had begun the same short query, and eight more a minute later; dozens
+of streams of other callers were lost with them. The caller repeated the query
+with a new id each time, mostly at another instance, and each instance sent it
+to the next live engine, since attempts were tracked only by the id of one
+submission. In the logs all crashes belong to one customer on one route, and
+each id reached one engine and was not retried by the instances.
 """
 
 import httpx
@@ -15,7 +15,7 @@
 from cartdale.clock import SystemClock, VirtualClock
 from cartdale.fleet.types import EntryRemoved
 from cartdale.quarantine.driver import Quarantine
-from cartdale.quarantine.evidence import KEPT
+from cartdale.quarantine.evidence import EVIDENCE_RETENTION
 from cartdale.quarantine.persistence import PersistentQuarantine
 from cartdale.quarantine.types import Crash, UpstreamEnded
 from cartdale.switches import Mechanism, Switches
@@ -34,21 +34,21 @@
 )
 
 DEADLY = b'a brief that ends engines'
-#: Upstreams that a request may end before it is refused.
+#: Upstreams that a request may crash before it is refused.
 CRASHES_TO_QUARANTINE = 3
 
 
-def list_lasting(stage: PlatformStage) -> list[str]:
-    """Return what of the quarantine is in the store."""
+def list_stored_keys(stage: PlatformStage) -> list[str]:
+    """Return the keys of the quarantine records in the store."""
     prefix = 'cartdale/quarantine/'
     entries = stage.store.state.fetch(prefix, f'{prefix}~', 0).entries
     return [entry.key for entry in entries]
 
 
-async def ask_deadly(
+async def submit_deadly(
     stage: PlatformStage, number: int, path: str, method: str = 'POST'
 ) -> httpx.Response | None:
-    """Submit a deadly request once more; ``None`` when its answer broke."""
+    """Submit a crashing request again; ``None`` if its response broke."""
     instance = number % len(stage.runtimes)
     headers = make_draft(f'deadly-{number}')
     if 'draft' not in path and 'tag' not in path:
@@ -61,13 +61,13 @@
         return None
 
 
-async def ask_again_and_again(
+async def submit_repeatedly(
     stage: PlatformStage, path: str, method: str = 'POST'
 ) -> list[httpx.Response | None]:
-    """Submit a deadly request at one instance after another.
+    """Submit a crashing request at one instance after another.
 
-    Between two of them all upstreams come back, and all instances hear of it
-    unless the store is away.
+    Between two submissions all upstreams restart, and all instances learn of it
+    unless the store is unavailable.
     """
     upstreams = (*stage.engines, *stage.plains)
     for upstream in upstreams:
@@ -87,32 +87,34 @@
         )
 
     for number in range(9):
-        answers.append(await ask_deadly(stage, number, path, method))
+        answers.append(await submit_deadly(stage, number, path, method))
         await until(are_all_up)
     return answers
 
 
-def count_ends(stage: PlatformStage) -> int:
+def count_crashes(stage: PlatformStage) -> int:
     return sum(
         len(each.crashes.crashed_by) for each in (*stage.engines, *stage.plains)
     )
 
 
-async def test_stream_that_ends_its_engines_is_sent_no_more() -> None:
+async def test_stream_that_crashes_its_engines_is_quarantined() -> None:
     async with open_platform(engines=5, instances=2, proxied=True) as stage:
-        answers = await ask_again_and_again(stage, '/draft/a')
-        assert count_ends(stage) == CRASHES_TO_QUARANTINE
+        answers = await submit_repeatedly(stage, '/draft/a')
+        assert count_crashes(stage) == CRASHES_TO_QUARANTINE
         last = answers[-1]
         assert last is not None
         assert last.status_code == 503
         assert (await draft(stage, 'r1')).content == whole('r1')
 
 
-async def test_plain_request_that_ends_its_upstreams_is_sent_no_more() -> None:
+async def test_plain_request_that_crashes_its_upstreams_is_quarantined() -> (
+    None
+):
     for path, method in (('/look/a', 'GET'), ('/cut/a', 'POST')):
         async with open_platform(plains=5, instances=2, proxied=True) as stage:
-            answers = await ask_again_and_again(stage, path, method)
-            assert count_ends(stage) == CRASHES_TO_QUARANTINE
+            answers = await submit_repeatedly(stage, path, method)
+            assert count_crashes(stage) == CRASHES_TO_QUARANTINE
             assert answers[-1].status_code == 503
             other = await stage.client.request(
                 method, stage.url(path), headers=make_headers('r1')
@@ -120,17 +122,17 @@
             assert other.status_code == 200
 
 
-async def test_resumed_stream_that_ends_its_engines_is_sent_no_more() -> None:
+async def test_resumed_stream_that_crashes_its_engines_is_quarantined() -> None:
     async with open_platform(engines=5, instances=2, proxied=True) as stage:
-        answers = await ask_again_and_again(stage, '/tag/a')
-        assert count_ends(stage) == CRASHES_TO_QUARANTINE
+        answers = await submit_repeatedly(stage, '/tag/a')
+        assert count_crashes(stage) == CRASHES_TO_QUARANTINE
         assert answers[-1].status_code == 503
 
 
-async def test_refusal_says_when_to_come_back_and_runs_nowhere() -> None:
+async def test_refusal_has_retry_after_and_runs_nowhere() -> None:
     async with open_platform(engines=5, instances=2, proxied=True) as stage:
-        await ask_again_and_again(stage, '/draft/a')
-        refused = await ask_deadly(stage, 99, '/draft/a')
+        await submit_repeatedly(stage, '/draft/a')
+        refused = await submit_deadly(stage, 99, '/draft/a')
         assert refused.status_code == 503
         assert float(refused.headers['Retry-After']) > 60
         assert b'upstreams ended' in refused.content
@@ -140,36 +142,36 @@
         assert 'reason="QUARANTINED"' in metrics
 
 
-async def test_one_that_may_have_run_is_not_told_that_it_did_not() -> None:
+async def test_request_that_may_have_run_is_not_reported_as_not_run() -> None:
     async with open_platform(plains=5, proxied=True) as stage:
         for plain in stage.plains:
             plain.crashes.crashing_bodies.add(DEADLY)
         answers = [
-            await ask_deadly(stage, number, '/look/a', 'GET')
+            await submit_deadly(stage, number, '/look/a', 'GET')
             for number in range(2)
         ]
         # Each was sent twice; the fourth send found the request quarantined.
         assert [each.status_code for each in answers] == [502, 502]
-        assert count_ends(stage) == CRASHES_TO_QUARANTINE
+        assert count_crashes(stage) == CRASHES_TO_QUARANTINE
 
 
-async def test_an_instance_that_starts_later_knows_it() -> None:
+async def test_an_instance_that_starts_later_learns_of_it() -> None:
     async with open_platform(engines=5, instances=2, proxied=True) as stage:
-        await ask_again_and_again(stage, '/draft/a')
+        await submit_repeatedly(stage, '/draft/a')
         stage.add_instance()
         await stage.settle()
         newcomer = stage.runtimes[-1].fleet.quarantine
         await until(newcomer.count_quarantined)
-        refused = await ask_deadly(stage, 2, '/draft/a')
+        refused = await submit_deadly(stage, 2, '/draft/a')
         assert refused.status_code == 503
-        assert count_ends(stage) == CRASHES_TO_QUARANTINE
+        assert count_crashes(stage) == CRASHES_TO_QUARANTINE
 
 
-async def test_others_on_the_same_engines_are_not_blamed() -> None:
+async def test_other_requests_on_the_same_engines_are_not_quarantined() -> None:
     async with open_platform(engines=5, instances=2, proxied=True) as stage:
         async with draft_meanwhile(stage, 'r1') as answers:
             await find_runner(stage, 'r1')
-            await ask_again_and_again(stage, '/draft/a')
+            await submit_repeatedly(stage, '/draft/a')
         quarantine = stage.runtimes[0].fleet.quarantine
         assert quarantine.count_quarantined() == 1
         again = await draft(stage, 'r2')
@@ -177,23 +179,23 @@
         assert len(answers) <= 1
 
 
-async def test_lost_answers_of_upstreams_that_live_are_no_evidence() -> None:
+async def test_lost_responses_of_live_upstreams_are_no_evidence() -> None:
     async with open_platform(plains=3, proxied=True) as stage:
         for plain in stage.plains:
             plain.faults.lost_responses = 9
         for number in range(4):
-            await ask_deadly(stage, number, '/look/a', 'GET')
+            await submit_deadly(stage, number, '/look/a', 'GET')
         assert not stage.runtimes[0].fleet.quarantine.state.records_by_identity
 
 
-async def test_a_request_that_waits_for_room_stops_waiting() -> None:
+async def test_a_request_that_waits_for_capacity_is_refused() -> None:
     async with open_platform(engines=1, proxied=True) as stage:
         runtime = stage.runtimes[0]
         runtime.fleet.dispatch(EntryRemoved('engine-0'))
         answers: list[httpx.Response | None] = []
 
         async def ask() -> None:
-            answers.append(await ask_deadly(stage, 0, '/draft/a'))
+            answers.append(await submit_deadly(stage, 0, '/draft/a'))
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(ask)
@@ -205,14 +207,14 @@
         assert b'upstreams ended' in answers[0].content
 
 
-async def test_a_request_that_waits_at_an_engine_is_taken_back() -> None:
+async def test_a_request_that_waits_at_an_engine_is_withdrawn() -> None:
     async with open_platform(engines=1, proxied=True) as stage:
         engine = stage.engines[0]
         engine.stream_faults.withhold_headers = True
         answers: list[httpx.Response | None] = []
 
         async def ask() -> None:
-            answers.append(await ask_deadly(stage, 0, '/draft/a'))
+            answers.append(await submit_deadly(stage, 0, '/draft/a'))
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(ask)
@@ -225,19 +227,19 @@
         assert not stage.runtimes[0].fleet.find('engine-0').strikes
 
 
-async def test_switched_off_nothing_is_refused() -> None:
+async def test_nothing_is_refused_when_disabled() -> None:
     switches = Switches(frozenset((Mechanism.QUARANTINE,)))
     async with open_platform(engines=5, instances=0, proxied=True) as stage:
         stage.add_instance(switches=switches)
         await stage.settle()
-        await ask_again_and_again(stage, '/draft/a')
-        assert count_ends(stage) > CRASHES_TO_QUARANTINE
+        await submit_repeatedly(stage, '/draft/a')
+        assert count_crashes(stage) > CRASHES_TO_QUARANTINE
 
 
-async def test_it_is_known_after_all_instances_were_lost() -> None:
+async def test_quarantine_survives_the_loss_of_all_instances() -> None:
     async with open_platform(engines=5, instances=2, proxied=True) as stage:
-        await ask_again_and_again(stage, '/draft/a')
-        await until(lambda: list_lasting(stage))
+        await submit_repeatedly(stage, '/draft/a')
+        await until(lambda: list_stored_keys(stage))
         for scope in stage.scopes:
             scope.cancel()
         for stopped in stage.stopped:
@@ -245,35 +247,35 @@
         stage.runtimes.clear()
         stage.add_instance()
         await stage.settle()
-        refused = await ask_deadly(stage, 99, '/draft/a')
+        refused = await submit_deadly(stage, 99, '/draft/a')
         assert refused.status_code == 503
         assert b'upstreams ended' in refused.content
-        assert count_ends(stage) == CRASHES_TO_QUARANTINE
+        assert count_crashes(stage) == CRASHES_TO_QUARANTINE
 
 
-async def test_one_call_to_the_store_makes_it_last() -> None:
+async def test_one_record_in_the_store_persists_it() -> None:
     async with open_platform(engines=5, instances=2, proxied=True) as stage:
-        await ask_again_and_again(stage, '/draft/a')
-        await until(lambda: list_lasting(stage))
+        await submit_repeatedly(stage, '/draft/a')
+        await until(lambda: list_stored_keys(stage))
         await trio.sleep(0.2)
-        assert len(list_lasting(stage)) == 1
+        assert len(list_stored_keys(stage)) == 1
         quarantine = stage.runtimes[0].fleet.quarantine
         identity = next(iter(quarantine.state.records_by_identity))
         quarantine.record_survival(identity)
-        await until(lambda: not list_lasting(stage))
+        await until(lambda: not list_stored_keys(stage))
         assert not stage.runtimes[1].fleet.quarantine.count_quarantined()
 
 
-async def test_a_store_that_is_away_is_told_later() -> None:
+async def test_records_are_written_after_a_store_outage() -> None:
     async with open_platform(engines=5, instances=2, proxied=True) as stage:
         stage.store.faults = PlatformStoreFaults(busy=True)
-        await ask_again_and_again(stage, '/draft/a')
-        assert not list_lasting(stage)
+        await submit_repeatedly(stage, '/draft/a')
+        assert not list_stored_keys(stage)
         stage.store.faults = PlatformStoreFaults()
-        await until(lambda: list_lasting(stage))
+        await until(lambda: list_stored_keys(stage))
 
 
-async def test_what_another_wrote_there_is_passed_over() -> None:
+async def test_unreadable_records_are_skipped() -> None:
     async with open_platform(instances=0) as stage:
         stage.store.put('cartdale/quarantine/00', {'of': 'another'})
         stage.add_instance()
@@ -282,33 +284,33 @@
         assert not quarantine.state.records_by_identity
 
 
-async def test_failures_of_sick_upstreams_clear_nothing() -> None:
+async def test_failures_of_sick_upstreams_record_no_survival() -> None:
     async with open_platform(plains=4, proxied=True) as stage:
-        sick, *sound = stage.plains
+        sick, *healthy = stage.plains
         sick.faults.errors = 99
-        for plain in sound:
+        for plain in healthy:
             plain.crashes.crashing_bodies.add(DEADLY)
 
         def are_all_up() -> bool:
             return not any(each.dead for each in stage.plains)
 
         for number in range(16):
-            await ask_deadly(stage, number, '/cut/a')
+            await submit_deadly(stage, number, '/cut/a')
             await until(are_all_up)
         assert sick.runs_by_request
-        assert count_ends(stage) == CRASHES_TO_QUARANTINE
+        assert count_crashes(stage) == CRASHES_TO_QUARANTINE
 
 
-async def test_what_ran_on_after_all_is_not_read_back() -> None:
+async def test_record_of_a_request_that_survived_is_removed() -> None:
     async with open_platform(engines=5, instances=2, proxied=True) as stage:
-        await ask_again_and_again(stage, '/draft/a')
-        await until(lambda: list_lasting(stage))
+        await submit_repeatedly(stage, '/draft/a')
+        await until(lambda: list_stored_keys(stage))
         stage.store.faults = PlatformStoreFaults(busy=True)
         first, other = (each.fleet.quarantine for each in stage.runtimes)
         identity = next(iter(first.state.records_by_identity))
         other.record_survival(identity)
         await until(lambda: not first.count_quarantined())
-        # Both are lost before the store could be told.
+        # Both instances end before either can write to the store.
         for scope in stage.scopes:
             scope.cancel()
         for stopped in stage.stopped:
@@ -318,17 +320,19 @@
         runtime = stage.add_instance()
         runtime.fleet.quarantine.record_survival(identity)
         await stage.settle()
-        await until(lambda: not list_lasting(stage))
+        await until(lambda: not list_stored_keys(stage))
         assert not runtime.fleet.quarantine.count_quarantined()
 
 
-async def test_ages_in_the_store_go_on() -> None:
+async def test_stored_evidence_keeps_ageing() -> None:
     async with open_platform(engines=5, instances=1, proxied=True) as stage:
-        await ask_again_and_again(stage, '/draft/a')
-        await until(lambda: list_lasting(stage))
+        await submit_repeatedly(stage, '/draft/a')
+        await until(lambda: list_stored_keys(stage))
         quarantine = Quarantine(VirtualClock(), print)
-        clock = VirtualClock(epoch=SystemClock().wall_time() + KEPT)
-        lasting = PersistentQuarantine(None, quarantine, clock)
-        entry = stage.store.state.find(list_lasting(stage)[0])
-        lasting.restore(entry.key, entry.value)
+        clock = VirtualClock(
+            epoch=SystemClock().wall_time() + EVIDENCE_RETENTION
+        )
+        persistent = PersistentQuarantine(None, quarantine, clock)
+        entry = stage.store.state.find(list_stored_keys(stage)[0])
+        persistent.restore(entry.key, entry.value)
         assert not quarantine.state.records_by_identity
--- a/tests/test_quarantine_own.py
+++ b/tests/test_quarantine_own.py
@@ -1,4 +1,4 @@
-"""The own interface: a prompt that ends each engine is sent no more."""
+"""Own interface: a prompt that crashes each engine is quarantined."""
 
 from functools import partial
 from pathlib import Path
@@ -10,12 +10,12 @@
 from tests.stage import CALLER_KEY, Stage, open_stage
 
 DEADLY = 'A prompt that ends engines [length=40]'
-SOUND = 'A sound one [length=40]'
+HEALTHY = 'A sound one [length=40]'
 NOT_RUN = 'urn:cartdale:problem:not-run'
-#: Engines that a request may end before it is refused.
+#: Engines that a request may crash before it is refused.
 CRASHES_TO_QUARANTINE = 3
-#: Time for the instances to tell each other, in seconds.
-TOLD = 1
+#: Time for the instances to exchange news, in seconds.
+NEWS_SECONDS = 1
 
 
 def make_deadly(stage: Stage) -> None:
@@ -27,44 +27,44 @@
     return sum(len(engine.started_by_generation) for engine in stage.engines)
 
 
-async def ask_deadly(stage: Stage, times: int = 4) -> list[Received]:
-    """Submit a deadly prompt at one instance after another."""
+async def submit_deadly(stage: Stage, times: int = 4) -> list[Received]:
+    """Submit a crashing prompt at one instance after another."""
     answers: list[Received] = []
     for number in range(times):
         index = number % len(stage.runtimes)
         answers.append(await stream(stage, index, make_body(DEADLY)))
-        await trio.sleep(TOLD)
+        await trio.sleep(NEWS_SECONDS)
     return answers
 
 
-async def test_prompt_that_ends_engines_is_sent_no_more(
+async def test_prompt_that_crashes_engines_is_quarantined(
     tmp_path: Path,
 ) -> None:
     async with open_stage(tmp_path, instances=2, engines=4) as stage:
         await stage.settle(stage.declare())
         make_deadly(stage)
-        answers = await ask_deadly(stage)
+        answers = await submit_deadly(stage)
         assert count_starts(stage) == CRASHES_TO_QUARANTINE
         assert answers[-1].problem['type'] == NOT_RUN
         assert 'upstreams ended' in answers[-1].problem['detail']
-        sound = await stream(stage, 0, make_body(SOUND))
-        assert sound.tokens == expected_tokens(SOUND, 40)
+        healthy = await stream(stage, 0, make_body(HEALTHY))
+        assert healthy.tokens == expected_tokens(HEALTHY, 40)
 
 
-async def test_where_nothing_repeats_each_submission_ends_one(
+async def test_without_retries_each_submission_crashes_one_engine(
     tmp_path: Path,
 ) -> None:
     async with open_stage(tmp_path, instances=2, engines=4) as stage:
         await stage.settle(stage.declare(service={'repeat': 'never'}))
         make_deadly(stage)
-        answers = await ask_deadly(stage, 6)
+        answers = await submit_deadly(stage, 6)
         assert count_starts(stage) == CRASHES_TO_QUARANTINE
         kinds = [each.problem['type'] for each in answers]
         assert kinds[-1] == NOT_RUN
         assert NOT_RUN not in kinds[:CRASHES_TO_QUARANTINE]
 
 
-async def test_plain_call_that_ends_its_upstream_is_sent_no_more(
+async def test_plain_call_that_crashes_its_upstream_is_quarantined(
     tmp_path: Path,
 ) -> None:
     async with open_stage(tmp_path) as stage:
