--- a/src/cartdale/membership/__init__.py
+++ b/src/cartdale/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Membership: who is alive, leaving or silent."""
+"""Membership: which instances are alive, leaving or silent."""
--- a/src/cartdale/membership/decide.py
+++ b/src/cartdale/membership/decide.py
@@ -1,4 +1,4 @@
-"""Decide whom to tell what, and who is believed to be alive."""
+"""State machine of gossip: selects peers and news, and judges liveness."""
 
 import random
 from dataclasses import replace
@@ -6,12 +6,12 @@
 
 from cartdale.clock import Millis
 from cartdale.membership.types import (
-    CYCLES_WAITED,
     FANOUT,
     FORGET_MS,
-    FRESHEST,
+    FRESH_NEWS_IN_MESSAGE,
     NEWS_IN_MESSAGE,
     ROUND_MS,
+    SILENT_CYCLES,
     SILENT_ROUNDS,
     URGENT_FANOUT,
     CrashesLearnt,
@@ -35,36 +35,38 @@
 
 
 def decide(state: MembershipState, message: Message, now: Millis) -> Decision:
-    """Take one message.
+    """Apply one message.
 
     :param now: monotonic milliseconds.
-    :returns: the next state, and which peers to exchange news with.
+    :returns: the next state, and the exchanges of news to start with peers.
     """
     match message:
         case ListRead(instances=instances):
             return _read_list(state, instances, now), ()
         case NewsReceived(news=news):
-            return _hear(state, news, now), ()
+            return _apply_news(state, news, now), ()
         case PeerSilent(name=name):
             return _suspect(state, name), ()
         case RoundBegan():
             return _begin_round(state, now)
         case RevisionAdopted(revision=revision, took_ms=took_ms):
-            return _adopt(state, revision, took_ms, now)
+            return _adopt_revision(state, revision, took_ms, now)
         case CrashesLearnt():
-            return _tell_some(_beat(state, state.own), URGENT_FANOUT, now)
+            return _send_news(
+                _increment_beat(state, state.own), URGENT_FANOUT, now
+            )
         case OwnLeaving():
             own = replace(state.own, status=MemberStatus.LEAVING)
-            return _tell_some(_beat(state, own), URGENT_FANOUT, now)
+            return _send_news(_increment_beat(state, own), URGENT_FANOUT, now)
         case _:
             assert_never(message)
 
 
 def list_alive(state: MembershipState, now: Millis) -> tuple[MemberNews, ...]:
-    """Return the members believed to be alive, in order of name.
+    """Return the members believed to be alive, sorted by name.
 
-    Includes this instance unless it is leaving. Others may believe
-    something else; nothing that must hold depends on agreement.
+    Includes this instance unless it is leaving. Other instances may differ; no
+    correctness property depends on agreement.
     """
     alive: list[MemberNews] = []
     if state.own.status is MemberStatus.LIVE:
@@ -77,20 +79,20 @@
 
 
 def is_alive(state: MembershipState, member: Member, now: Millis) -> bool:
-    """Tell whether a member is believed to be alive and staying."""
+    """Return whether a member is believed to be alive and not leaving."""
     if member.news.status is MemberStatus.LEAVING or member.suspected:
         return False
     return now - member.received_at <= silence_limit(state)
 
 
 def silence_limit(state: MembershipState) -> Millis:
-    """Return how long a member may be quiet before it counts as silent.
+    """Return the time without news after which a member counts as silent.
 
-    A message holds a few members only, so in a large system news of each
-    takes longer to come round.
+    A message describes only a few members, so in a large system the news of
+    each member takes longer to reach every instance.
     """
     cycle = len(state.members_by_name) // NEWS_IN_MESSAGE
-    return ROUND_MS * (SILENT_ROUNDS + CYCLES_WAITED * cycle)
+    return ROUND_MS * (SILENT_ROUNDS + SILENT_CYCLES * cycle)
 
 
 def _read_list(
@@ -108,11 +110,11 @@
     for listing in instances:
         unknown = listing.name not in members_by_name
         if unknown and listing.name != state.own.name:
-            members_by_name[listing.name] = _introduce(listing, now)
+            members_by_name[listing.name] = _make_member(listing, now)
     return replace(state, members_by_name=members_by_name)
 
 
-def _introduce(listing: ListedInstance, now: Millis) -> Member:
+def _make_member(listing: ListedInstance, now: Millis) -> Member:
     live = listing.state == _LISTED_LIVE
     news = MemberNews(
         name=listing.name,
@@ -127,11 +129,11 @@
     return Member(news, received_at=now, listed=live)
 
 
-def _hear(
-    state: MembershipState, heard: tuple[MemberNews, ...], now: Millis
+def _apply_news(
+    state: MembershipState, received: tuple[MemberNews, ...], now: Millis
 ) -> MembershipState:
     members_by_name = dict(state.members_by_name)
-    for index, news in enumerate(heard):
+    for index, news in enumerate(received):
         if news.name == state.own.name:
             continue
         known = members_by_name.get(news.name)
@@ -159,17 +161,17 @@
 
 
 def _begin_round(state: MembershipState, now: Millis) -> Decision:
-    return _tell_some(_beat(state, state.own), FANOUT, now)
+    return _send_news(_increment_beat(state, state.own), FANOUT, now)
 
 
-def _adopt(
+def _adopt_revision(
     state: MembershipState, revision: int, took_ms: Millis, now: Millis
 ) -> Decision:
     own = replace(state.own, revision=revision, took_ms=took_ms)
-    return _tell_some(_beat(state, own), URGENT_FANOUT, now)
+    return _send_news(_increment_beat(state, own), URGENT_FANOUT, now)
 
 
-def _beat(state: MembershipState, own: MemberNews) -> MembershipState:
+def _increment_beat(state: MembershipState, own: MemberNews) -> MembershipState:
     return replace(
         state,
         own=replace(own, beat=own.beat + 1),
@@ -177,7 +179,7 @@
     )
 
 
-def _tell_some(state: MembershipState, fanout: int, now: Millis) -> Decision:
+def _send_news(state: MembershipState, fanout: int, now: Millis) -> Decision:
     generator = random.Random(f'{state.own.name}:{state.rounds}')
     peers = sorted(
         name
@@ -186,26 +188,29 @@
     )
     chosen = generator.sample(peers, min(fanout, len(peers)))
     news = select_news(state)
-    told = tuple(
+    actions = tuple(
         SendNews(name, state.members_by_name[name].news.address, news)
         for name in chosen
     )
-    return state, told
+    return state, actions
 
 
 def select_news(state: MembershipState) -> tuple[MemberNews, ...]:
-    """Return what to tell a peer: itself, the freshest news, and a sample.
+    """Return the news for a message: own, the freshest, and a sample.
 
-    Only the freshest would spread what is known anyway; the sample brings
-    every member round.
+    The freshest news alone would repeat what most peers know; the sample
+    ensures that news of every member spreads.
     """
     freshest = sorted(
         state.members_by_name.values(), key=_received_at, reverse=True
     )
-    fresh, rest = freshest[:FRESHEST], freshest[FRESHEST:]
+    fresh, others = (
+        freshest[:FRESH_NEWS_IN_MESSAGE],
+        freshest[FRESH_NEWS_IN_MESSAGE:],
+    )
     generator = random.Random(f'{state.own.name}:{state.rounds}')
-    room = min(len(rest), NEWS_IN_MESSAGE - 1 - len(fresh))
-    sampled = generator.sample(rest, room)
+    sample_size = min(len(others), NEWS_IN_MESSAGE - 1 - len(fresh))
+    sampled = generator.sample(others, sample_size)
     return (state.own, *(member.news for member in (*fresh, *sampled)))
 
 
--- a/src/cartdale/membership/driver.py
+++ b/src/cartdale/membership/driver.py
@@ -1,4 +1,4 @@
-"""Follow the platform's list and exchange news with peers."""
+"""Poll the platform's instance list and exchange news with peers."""
 
 import random
 from collections.abc import Awaitable, Callable
@@ -31,34 +31,34 @@
 from cartdale.quarantine.driver import Quarantine
 from cartdale.quarantine.types import CrashesTold
 
-_LIST_EVERY: Millis = 20_000
-#: An instance that knows nobody, as after a start, looks more often.
-_LIST_WHEN_ALONE: Millis = 2 * SECOND_MS
+_LIST_INTERVAL: Millis = 20_000
+#: An instance without known members, as after a start, polls more often.
+_LIST_INTERVAL_ALONE: Millis = 2 * SECOND_MS
 _LIST_TIMEOUT: Millis = 3 * SECOND_MS
 _JITTER = 0.2
-#: Age up to which a ranking of members is used again.
-RANKING_KEPT: Millis = SECOND_MS
-#: Crashes that are learnt within so long are told together: whatever ran on an
-#: engine breaks in the same moment.
-_CRASHES_GATHERED: Millis = SECOND_MS // 10
+#: Maximum age at which a cached ranking of members is reused.
+MAX_RANKING_AGE: Millis = SECOND_MS
+#: Time in which crashes are collected into one message, since all runs on an
+#: engine break at the same moment.
+_CRASH_BATCH_DELAY: Millis = SECOND_MS // 10
 
 NewsFrom = Callable[[MemberNews], Awaitable[None]]
 
 
 @dataclass(frozen=True, slots=True)
 class InstanceList:
-    """Carry the platform's list."""
+    """Hold the platform's instance list."""
 
     instances: tuple[ListedInstance, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class MembershipPorts:
-    """Bundle what membership uses of its instance.
+    """Bundle the dependencies of membership.
 
-    :param list_url: where the platform's list is read.
+    :param list_url: URL of the platform's instance list.
     :param on_news: called with a peer's own news after each exchange.
-    :param quarantine: what it knows travels with the news.
+    :param quarantine: source and target of the crashes exchanged with the news.
     """
 
     client: httpx.AsyncClient
@@ -70,7 +70,7 @@
 
 
 class Membership:
-    """Hold this instance's view of the others."""
+    """Hold this instance's view of the other members."""
 
     def __init__(self, ports: MembershipPorts, own: MemberNews) -> None:
         self._ports = ports
@@ -83,15 +83,15 @@
         self.state = MembershipState(own)
 
     async def run(self) -> None:
-        """Exchange news for ever."""
+        """Exchange news until cancelled."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._follow_list)
+            nursery.start_soon(self._poll_list)
             nursery.start_soon(self._gossip)
             nursery.start_soon(self._send_urgent)
             nursery.start_soon(self._publish_crashes)
 
     def publish_crashes(self) -> None:
-        """Tell some peers soon what is known of crashes, who tell others."""
+        """Send known crashes to some peers soon, which spread them further."""
         self._crashes_learnt.set()
 
     @property
@@ -100,14 +100,14 @@
         return self.state.own.name
 
     def dispatch(self, message: Message) -> None:
-        """Take a message; what must be told at once is sent soon."""
+        """Apply a message and schedule the resulting exchanges."""
         self._pending.extend(self._apply(message))
-        self._forget_rankings()
+        self._clear_rankings()
         if self._pending:
             self._urgent.set()
 
     def answer(self, exchange: Exchange) -> Exchange:
-        """Take a peer's news and return own."""
+        """Apply a peer's news and return this instance's news."""
         self._apply(NewsReceived(exchange.news))
         quarantine = self._ports.quarantine
         quarantine.dispatch(CrashesTold(exchange.crashes))
@@ -118,13 +118,13 @@
         return list_alive(self.state, self._ports.clock.now())
 
     def rank(self, key: str) -> list[MemberNews]:
-        """Return the living members, the preferred one for a key first.
+        """Return the live members, the preferred one for a key first.
 
-        Rankings are kept for ``RANKING_KEPT`` or until a member fails a
-        call; at 370 members one takes about a millisecond.
+        Rankings are cached for ``MAX_RANKING_AGE`` or until a call to a member
+        fails; computing one for 370 members takes about a millisecond.
         """
-        if self._ports.clock.now() - self._ranked_at >= RANKING_KEPT:
-            self._forget_rankings()
+        if self._ports.clock.now() - self._ranked_at >= MAX_RANKING_AGE:
+            self._clear_rankings()
         ranked = self._ranked_by_key.get(key)
         if ranked is None:
             news_by_name = {news.name: news for news in self.alive()}
@@ -133,7 +133,7 @@
             self._ranked_by_key[key] = ranked
         return ranked
 
-    def _forget_rankings(self) -> None:
+    def _clear_rankings(self) -> None:
         self._ranked_by_key.clear()
         self._ranked_at = self._ports.clock.now()
 
@@ -144,34 +144,34 @@
 
     async def _gossip(self) -> None:
         while True:
-            tells = self._apply(RoundBegan())
+            exchanges = self._apply(RoundBegan())
             async with trio.open_nursery() as nursery:
-                for tell in tells:
-                    nursery.start_soon(self._exchange, tell)
-            await trio.sleep(as_seconds(self._vary(ROUND_MS)))
+                for exchange in exchanges:
+                    nursery.start_soon(self._exchange, exchange)
+            await trio.sleep(as_seconds(self._add_jitter(ROUND_MS)))
 
     async def _send_urgent(self) -> None:
         while True:
             await self._urgent.wait()
             self._urgent = trio.Event()
-            tells = tuple(self._pending)
+            exchanges = tuple(self._pending)
             self._pending.clear()
             async with trio.open_nursery() as nursery:
-                for tell in tells:
-                    nursery.start_soon(self._exchange, tell)
+                for exchange in exchanges:
+                    nursery.start_soon(self._exchange, exchange)
 
     async def _publish_crashes(self) -> None:
         while True:
             await self._crashes_learnt.wait()
-            await trio.sleep(as_seconds(_CRASHES_GATHERED))
+            await trio.sleep(as_seconds(_CRASH_BATCH_DELAY))
             self._crashes_learnt = trio.Event()
             self.dispatch(CrashesLearnt())
 
-    async def _exchange(self, tell: SendNews) -> None:
+    async def _exchange(self, exchange: SendNews) -> None:
         answer = await self._ports.peers.request(
-            tell.name,
-            tell.address,
-            Exchange(tell.news, self._ports.quarantine.list_news()),
+            exchange.name,
+            exchange.address,
+            Exchange(exchange.news, self._ports.quarantine.list_news()),
             Exchange,
             times_clock=True,
         )
@@ -181,14 +181,14 @@
                 self._apply(NewsReceived(news))
                 await self._ports.on_news(news[0])
             case _:
-                self._apply(PeerSilent(tell.name))
+                self._apply(PeerSilent(exchange.name))
 
-    async def _follow_list(self) -> None:
+    async def _poll_list(self) -> None:
         while True:
             await self._read_list()
             alone = not self.state.members_by_name
-            period = _LIST_WHEN_ALONE if alone else _LIST_EVERY
-            await trio.sleep(as_seconds(self._vary(period)))
+            interval = _LIST_INTERVAL_ALONE if alone else _LIST_INTERVAL
+            await trio.sleep(as_seconds(self._add_jitter(interval)))
 
     async def _read_list(self) -> None:
         try:
@@ -200,6 +200,6 @@
             return
         self._apply(ListRead(listed.instances))
 
-    def _vary(self, period: Millis) -> Millis:
+    def _add_jitter(self, interval: Millis) -> Millis:
         factor = 1 + self._generator.uniform(-_JITTER, _JITTER)
-        return int(period * factor)
+        return int(interval * factor)
--- a/src/cartdale/membership/ranking.py
+++ b/src/cartdale/membership/ranking.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: rank members for a key without agreement."""
+"""Rendezvous hashing: rank members for a key without coordination."""
 
 import hashlib
 from collections.abc import Iterable
@@ -9,7 +9,7 @@
 def rank_names(key: str, names: Iterable[str]) -> list[str]:
     """Return the names, the preferred one for the key first.
 
-    When a name goes, only the keys that it was preferred for move.
+    When a name is removed, only the keys that preferred it move.
     """
     return sorted(names, key=lambda name: (_score(key, name), name))
 
--- a/src/cartdale/membership/types.py
+++ b/src/cartdale/membership/types.py
@@ -1,29 +1,30 @@
-"""Messages, state and actions of the membership slice."""
+"""Messages, state and actions of membership."""
 
 from dataclasses import dataclass, field
 from enum import StrEnum
 
 from cartdale.clock import SECOND_MS, Millis
 
-#: Between two rounds of gossip.
+#: Time between two rounds of gossip.
 ROUND_MS: Millis = 2 * SECOND_MS
-#: Peers exchanged with in a round, and at once after important news.
+#: Number of peers to exchange news with in a round, and immediately after an
+#: urgent change.
 FANOUT = 1
 URGENT_FANOUT = 4
-#: Members described in one message; bounds its size.
+#: Maximum number of members described in one message; bounds its size.
 NEWS_IN_MESSAGE = 12
-#: Of these, how many are the last that were heard; the rest is a sample.
-FRESHEST = 4
-#: Rounds without a newer heartbeat after which a member is silent, and how
-#: many full cycles of news are waited for on top.
+#: Number of these with the most recent news; the others are a random sample.
+FRESH_NEWS_IN_MESSAGE = 4
+#: Rounds without a newer heartbeat after which a member counts as silent, and
+#: the number of full cycles of news to wait for in addition.
 SILENT_ROUNDS = 6
-CYCLES_WAITED = 4
-#: A silent member is forgotten after so long when nobody lists it.
+SILENT_CYCLES = 4
+#: Time after which a silent member that is no longer listed is dropped.
 FORGET_MS: Millis = 10 * 60 * SECOND_MS
 
 
 class MemberStatus(StrEnum):
-    """Say what a member said of itself."""
+    """Status that a member announced."""
 
     LIVE = 'live'
     LEAVING = 'leaving'
@@ -31,12 +32,13 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberNews:
-    """Describe a member as it described itself.
+    """Describe a member, as published by itself.
 
-    :param incarnation: wall time of its start; larger wins.
-    :param beat: counts its rounds; larger wins within an incarnation.
-    :param address: base URL of its peers' interface.
-    :param revision: configuration in force there.
+    :param incarnation: wall time of its start; the larger one is newer.
+    :param beat: heartbeat counter; the larger one is newer within an
+        incarnation.
+    :param address: base URL of its peer interface.
+    :param revision: configuration in force on the member.
     """
 
     name: str
@@ -52,10 +54,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """Hold what this instance believes of another.
+    """Hold this instance's view of another member.
 
-    :param received_at: when news with a newer heartbeat arrived.
-    :param suspected: whether a call to it failed and it was not heard since.
+    :param received_at: when news with a newer heartbeat last arrived.
+    :param suspected: whether a call to it failed and none of its messages was
+        received since.
     :param listed: whether the platform's list shows it as live.
     """
 
@@ -67,9 +70,9 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipState:
-    """Hold this instance's view of all others.
+    """Hold this instance's view of all members.
 
-    :param own: what this instance says of itself.
+    :param own: news that this instance publishes about itself.
     :param rounds: gossip rounds begun; seeds the choice of peers.
     """
 
@@ -91,14 +94,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ListRead:
-    """The platform's list arrived; it lags behind the truth."""
+    """The platform's list arrived; it lags behind the actual state."""
 
     instances: tuple[ListedInstance, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class NewsReceived:
-    """A peer told what it knows; the first entry is its own."""
+    """A peer sent its news; the first entry describes the peer itself."""
 
     news: tuple[MemberNews, ...]
 
@@ -112,12 +115,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RoundBegan:
-    """It is time to tell some peers."""
+    """A gossip round begins."""
 
 
 @dataclass(frozen=True, slots=True)
 class RevisionAdopted:
-    """A newer configuration is in force here."""
+    """A newer configuration is in force on this instance."""
 
     revision: int
     took_ms: Millis
@@ -130,7 +133,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CrashesLearnt:
-    """This instance learnt of upstreams that ended under a request."""
+    """This instance learnt of upstreams that crashed on a request."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/gossip.py
+++ b/tests/gossip.py
@@ -1,4 +1,4 @@
-"""Gossip among many instances in virtual time, by the real decisions."""
+"""Simulation of gossip among many instances, with the production decisions."""
 
 from dataclasses import replace
 from random import Random
@@ -18,9 +18,9 @@
 
 
 class GossipRun:
-    """Let every instance do its rounds; messages take no time.
+    """Run the rounds of all instances in virtual time, without latency.
 
-    :param loss: chance that an exchange fails.
+    :param loss: probability that an exchange fails.
     """
 
     def __init__(self, count: int, seed: int, loss: float = 0) -> None:
@@ -29,12 +29,12 @@
         self.now = 0
         self.exchanges = 0
         news = [make_news(number) for number in range(count)]
-        self.states = {own.name: self.introduce(own, news) for own in news}
+        self.states = {own.name: self.make_state(own, news) for own in news}
         self.next_round = {
             name: self.random.randrange(ROUND_MS) for name in self.states
         }
 
-    def introduce(
+    def make_state(
         self, own: MemberNews, news: list[MemberNews]
     ) -> MembershipState:
         state = MembershipState(own)
@@ -53,34 +53,36 @@
             self.next_round[name] += int(
                 ROUND_MS * self.random.uniform(0.8, 1.2)
             )
-            self.tell(name, RoundBegan())
+            self.dispatch(name, RoundBegan())
 
-    def tell(self, name: str, message: Message) -> None:
-        self.states[name], tells = decide(self.states[name], message, self.now)
-        for tell in tells:
-            self.exchange(name, tell)
+    def dispatch(self, name: str, message: Message) -> None:
+        self.states[name], exchanges_due = decide(
+            self.states[name], message, self.now
+        )
+        for action in exchanges_due:
+            self.exchange(name, action)
 
-    def exchange(self, name: str, tell: SendNews) -> None:
-        if tell.name not in self.states or self.random.random() < self.loss:
+    def exchange(self, name: str, action: SendNews) -> None:
+        if action.name not in self.states or self.random.random() < self.loss:
             return
         self.exchanges += 1
-        self.hear(tell.name, tell.news)
-        self.hear(name, select_news(self.states[tell.name]))
+        self.receive(action.name, action.news)
+        self.receive(name, select_news(self.states[action.name]))
 
-    def hear(self, name: str, news: tuple[MemberNews, ...]) -> None:
-        heard = NewsReceived(news)
-        state = decide(self.states[name], heard, self.now)[0]
+    def receive(self, name: str, news: tuple[MemberNews, ...]) -> None:
+        received = NewsReceived(news)
+        state = decide(self.states[name], received, self.now)[0]
         self.states[name] = state
         ahead = max(one.revision for one in news)
         if ahead > state.own.revision:
-            self.tell(name, RevisionAdopted(ahead, 0))
+            self.dispatch(name, RevisionAdopted(ahead, 0))
 
-    def lose(self, name: str) -> None:
+    def remove(self, name: str) -> None:
         self.states.pop(name)
         self.next_round.pop(name)
 
     def count_wrong(self) -> int:
-        """Count beliefs that a living instance is gone."""
+        """Count views in which a live instance counts as gone."""
         return sum(
             len(self.states)
             - len(
@@ -91,7 +93,7 @@
         )
 
     def count_believers(self, name: str) -> int:
-        """Count instances that believe another alive."""
+        """Count instances that consider another alive."""
         return sum(
             name in {one.name for one in list_alive(state, self.now)}
             for state in self.states.values()
