--- a/src/cartdale/quarantine/decide.py
+++ b/src/cartdale/quarantine/decide.py
@@ -75,7 +75,7 @@
     return len(list_crashes(state, identity)) >= CRASHES_TO_QUARANTINE
 
 
-def find_end(state: QuarantineState, identity: Identity) -> Millis:
+def find_expiry(state: QuarantineState, identity: Identity) -> Millis:
     """Return when the record of a request expires."""
     record = state.records_by_identity.get(identity)
     return EVIDENCE_RETENTION + find_newest(record) if record else 0
--- a/src/cartdale/quarantine/driver.py
+++ b/src/cartdale/quarantine/driver.py
@@ -14,7 +14,7 @@
     CRASHES_TO_QUARANTINE,
     EVENTS_PAST_START,
     decide,
-    find_end,
+    find_expiry,
     is_quarantined,
     list_crashes,
 )
@@ -145,7 +145,7 @@
 
     def time_left(self, identity: Identity) -> Millis:
         """Return the time until the quarantine ends without new evidence."""
-        return max(find_end(self.state, identity) - self._clock.now(), 0)
+        return max(find_expiry(self.state, identity) - self._clock.now(), 0)
 
     def find_refusal(
         self, identity: Identity, request_id: str
--- a/tests/load/test_crash_news.py
+++ b/tests/load/test_crash_news.py
@@ -1,8 +1,8 @@
-"""How soon a whole fleet knows of a request that ends upstreams.
+"""Time until a whole fleet knows of a request that crashes upstreams.
 
-Pattern: three instances in three failure domains each see one upstream end
-under the same request, and its caller sends it on to any other. Platforms
-allow three seconds; news take a placement's time.
+Pattern: three instances in three failure domains each observe one upstream
+crash on the same request, and its caller repeats it at any other instance.
+Platforms allow three seconds; news must spread as fast as that of a placement.
 """
 
 import pytest
@@ -11,24 +11,25 @@
 from cartdale.quarantine.decide import CRASHES_TO_QUARANTINE
 from cartdale.quarantine.types import Crash, RanOn, UpstreamEnded
 from tests.load.fleet import FleetInstance
-from tests.load.test_news_age import KNOWN_ELSEWHERE, measure
+from tests.load.test_news_age import KNOWN_IN_OTHER_DOMAINS, measure
 from tests.load.test_store_calls import run_fleet
 
 IDENTITY = b'i' * 16
-#: A crash goes from one domain to another, whose count then goes on from there.
-KNOWN_EVERYWHERE = 2 * KNOWN_ELSEWHERE
+#: A crash report reaches another domain, and the count there is published in
+#: turn: twice the time of one transfer.
+KNOWN_ON_ALL_INSTANCES = 2 * KNOWN_IN_OTHER_DOMAINS
 
 
-def holds(each: FleetInstance) -> bool:
+def has_quarantined(each: FleetInstance) -> bool:
     return each.fleet.quarantine.is_quarantined(IDENTITY)
 
 
-def is_free(each: FleetInstance) -> bool:
-    return not holds(each)
+def has_released(each: FleetInstance) -> bool:
+    return not has_quarantined(each)
 
 
 @pytest.mark.parametrize('count', [8, 62, 195])
-async def test_crashes_that_three_saw_add_up_everywhere(
+async def test_crashes_observed_by_three_add_up_on_all_instances(
     autojump_clock, count: int
 ) -> None:
     async with run_fleet(count) as fleet:
@@ -36,14 +37,20 @@
         for number, each in enumerate(fleet.instances[:CRASHES_TO_QUARANTINE]):
             crash = Crash(IDENTITY, f'engine-{number}', 1)
             each.fleet.quarantine.dispatch(UpstreamEnded(crash))
-        assert await measure(fleet.instances, holds) <= KNOWN_EVERYWHERE
+        assert (
+            await measure(fleet.instances, has_quarantined)
+            <= KNOWN_ON_ALL_INSTANCES
+        )
         last = fleet.instances[-1].fleet.quarantine
         last.dispatch(RanOn(IDENTITY, fleet.clock.now()))
-        assert await measure(fleet.instances, is_free) <= KNOWN_EVERYWHERE
+        assert (
+            await measure(fleet.instances, has_released)
+            <= KNOWN_ON_ALL_INSTANCES
+        )
 
 
 @pytest.mark.parametrize('count', [8, 62])
-async def test_one_instance_writes_what_lasts(
+async def test_one_instance_writes_the_record(
     autojump_clock, count: int
 ) -> None:
     async with run_fleet(count) as fleet:
@@ -52,7 +59,7 @@
         for number in range(CRASHES_TO_QUARANTINE):
             crash = Crash(IDENTITY, f'engine-{number}', 1)
             seen.dispatch(UpstreamEnded(crash))
-        await measure(fleet.instances, holds)
+        await measure(fleet.instances, has_quarantined)
         await trio.sleep(1)
         keys = [
             change.key
--- a/tests/load/test_news_age.py
+++ b/tests/load/test_news_age.py
@@ -1,10 +1,10 @@
-"""How old news are when they are used, over a whole fleet in virtual time.
+"""Age of news when it is used, over a whole fleet in virtual time.
 
-Two patterns. Prompts that several instances place in the same tenth of a
-second: who has not heard of the others' choices sends its own to the same
-engine, where one prompt is read after another. And what the operator says of a
-failure domain, which must be in force everywhere within seconds, also while
-the store turns away those who follow it for the others.
+Covers two patterns. Several instances place prompts in the same tenth of a
+second: an instance without news of the others' choices picks the same engine,
+which processes one prompt after another. And an operator evacuates a failure
+domain, which must be in force on all instances within seconds, also while the
+store rejects the instances that watch it for the others.
 """
 
 from collections.abc import Callable, Iterator
@@ -21,25 +21,26 @@
 from tests.test_targets import make_routed
 
 ENGINE = UpstreamEntry('engine-0', 'writers', 'engine-0:1', DOMAINS[0], 24)
-#: In which those around must know where a prompt went: its way, and the pause
-#: between two messages of one sender in a failure domain of up to 40.
-KNOWN_AROUND: Millis = 80
-#: The same for other failure domains, which hear sums through two instances.
-KNOWN_ELSEWHERE: Millis = 300
-#: In which an evacuation is in force everywhere: 3 of 5 seconds are left for
-#: connections that are being made and for slow machines.
+#: Time in which domain peers must know of a placement: the transit of a message
+#: and the interval between two messages of one sender in a failure domain of up
+#: to 40 instances.
+KNOWN_IN_DOMAIN: Millis = 80
+#: The same for other failure domains, which get sums through two instances.
+KNOWN_IN_OTHER_DOMAINS: Millis = 300
+#: Time in which an evacuation is in force on all instances: 3 of 5 seconds are
+#: left for connections being established and for slow machines.
 EVACUATED_WITHIN: Millis = 2000
 EVACUATION = 'op/evacuate/kilimani'
 
 
 async def measure(
     instances: list[FleetInstance],
-    knows: Callable[[FleetInstance], object],
+    is_known: Callable[[FleetInstance], object],
 ) -> Millis:
-    """Return how long it takes until all of them know."""
+    """Return the time until the condition holds on all instances."""
     began = trio.current_time()
     with trio.fail_after(20):
-        while not all(knows(each) for each in instances):
+        while not all(is_known(each) for each in instances):
             await trio.sleep(0.005)
     return int((trio.current_time() - began) * 1000)
 
@@ -47,14 +48,14 @@
 def split(
     instances: list[FleetInstance], own: FleetInstance
 ) -> Iterator[list[FleetInstance]]:
-    """Return the instances around one, and those elsewhere."""
+    """Return the domain peers of an instance, and the instances elsewhere."""
     domain = own.peers.news.own.failure_domain
-    for around in (True, False):
+    for is_domain_peer in (True, False):
         yield [
             each
             for each in instances
             if each is not own
-            and (each.peers.news.own.failure_domain == domain) == around
+            and (each.peers.news.own.failure_domain == domain) == is_domain_peer
         ]
 
 
@@ -63,14 +64,16 @@
 
 
 @pytest.mark.parametrize('count', [8, 62, 195])
-async def test_placement_is_told_at_once(autojump_clock, count: int) -> None:
+async def test_placement_is_published_at_once(
+    autojump_clock, count: int
+) -> None:
     async with run_fleet(count) as fleet:
         own = fleet.instances[-1]
-        around, elsewhere = split(fleet.instances, own)
+        domain_peers, elsewhere = split(fleet.instances, own)
         occupancy = Occupancy(own.fleet, make_routed(900), 4)
         occupancy.assign(ENGINE)
-        assert await measure(around, knows_run) <= KNOWN_AROUND
-        assert await measure(elsewhere, knows_run) <= KNOWN_ELSEWHERE
+        assert await measure(domain_peers, knows_run) <= KNOWN_IN_DOMAIN
+        assert await measure(elsewhere, knows_run) <= KNOWN_IN_OTHER_DOMAINS
 
 
 def knows_evacuation(each: FleetInstance) -> bool:
@@ -82,7 +85,7 @@
 
 
 @pytest.mark.parametrize('count', [8, 62])
-async def test_evacuation_is_in_force_everywhere(
+async def test_evacuation_is_in_force_on_all_instances(
     autojump_clock, count: int
 ) -> None:
     async with run_fleet(count) as fleet:
@@ -94,7 +97,7 @@
 
 
 @pytest.mark.parametrize('count', [8, 62])
-async def test_evacuation_is_heard_by_those_whom_the_store_turns_away(
+async def test_evacuation_reaches_instances_that_the_store_rejects(
     autojump_clock, count: int
 ) -> None:
     async with run_fleet(count) as fleet:
@@ -106,7 +109,7 @@
         assert took <= 2 * EVACUATED_WITHIN
 
 
-async def test_outage_of_the_store_makes_nobody_forget_it(
+async def test_store_outage_does_not_end_the_evacuation(
     autojump_clock,
 ) -> None:
     async with run_fleet(30) as fleet:
