--- a/src/cartdale/news/domain_publisher.py
+++ b/src/cartdale/news/domain_publisher.py
@@ -67,8 +67,8 @@
 
     async def run(self) -> None:
         """Publish while this instance has the role; runs until cancelled."""
-        published = None
-        published_at: Millis = 0
+        sent = None
+        sent_at: Millis = 0
         turn = 0
         while True:
             await self._pause()
@@ -79,12 +79,9 @@
                 continue
             # A change of a limit also counts in `lifecycles`.
             news, urgent = self._describe(now), self._urgent_versions
-            if (
-                news,
-                urgent,
-            ) == published and now - published_at < _UNCHANGED_INTERVAL:
+            if (news, urgent) == sent and now - sent_at < _UNCHANGED_INTERVAL:
                 continue
-            published, published_at = (news, urgent), now
+            sent, sent_at = (news, urgent), now
             news = self._add_aged_parts(news, now)
             turn += 1
             for peer in choose_domain_recipients(
--- a/src/cartdale/quarantine/publishing.py
+++ b/src/cartdale/quarantine/publishing.py
@@ -14,10 +14,10 @@
 
 #: Maximum number of crashes in one message to a peer; bounds its size.
 PAGE_SIZE = 8
-#: Time after a change in which each message includes the crashes of a request.
-#: Later they are sent in turns, and only for requests that crashed several
-#: upstreams. These include requests that survived since: a peer that receives
-#: only the crashes would count them against the request.
+#: Time after a change in which the crashes of a request are sent first. Later
+#: they are sent in turns, and only for requests that crashed several upstreams.
+#: These include requests that survived since: a peer that receives only the
+#: crashes would count them against the request.
 _FRESH_DURATION: Millis = 3 * SECOND_MS
 
 
