--- a/src/cartdale/moves/__init__.py
+++ b/src/cartdale/moves/__init__.py
@@ -1,1 +1,1 @@
-"""Moves: carry running generations away from an upstream that leaves."""
+"""Moves: migrate running generations off an upstream that is leaving."""
--- a/src/cartdale/moves/decide.py
+++ b/src/cartdale/moves/decide.py
@@ -1,11 +1,11 @@
-"""Decide how a running generation gets from one engine to another.
-
-The source runs on while most of the memory is copied, and what it made since
-is copied again until that is quick: its link is free. Then it stops, the rest
-follows at once, and the same request goes on at the target after the last
-event that the caller has. If the source ends before, the older copy serves:
-the target reads again what it lacks. At any moment at most one engine works
-on the generation.
+"""State machine for the live migration of one generation between engines.
+
+The source keeps generating while most of its memory is copied. The copy is
+renewed until the source's link is free, so that the final copy is quick. Then
+the source stops, the remaining memory is copied, and the same request resumes
+at the target after the last event that the caller received. If the source ends
+earlier, the target resumes from the older copy and recomputes the tokens that
+it lacks. At most one engine works on the generation at any time.
 """
 
 from dataclasses import replace
@@ -38,19 +38,20 @@
 )
 from cartdale.relay.types import CopyFault
 
-#: Copies that may be refused or unanswered at one engine before its generation
-#: stays: at the pauses below they span four seconds, twice what an engine that
-#: is reclaimed gives notice.
-MOST_TRIES = 12
-#: Renewals of a copy over a busy link before the generation stops all the same.
-#: Each is due for what was made since the one before, so that waiting gains
-#: less each time; at the pauses below five span the notice of an engine.
-MOST_RENEWALS = 5
-#: First and longest pause before a refused copy is asked for again, and before
-#: the copy is renewed; each next one is twice as long.
+#: Refused or unanswered copies at one engine after which its generation stays
+#: there. With the pauses below they span four seconds, twice the notice of an
+#: engine that is reclaimed.
+MAX_TRIES = 12
+#: Renewals of a copy over a busy link after which the generation is stopped
+#: anyway. Each renewal copies only the memory added since the previous one, so
+#: waiting gains less each time. With the pauses below, five renewals span the
+#: notice of an engine.
+MAX_RENEWALS = 5
+#: First pause before a refused copy is retried, first pause before a copy is
+#: renewed, and the maximum of both. The pauses double.
 _RETRY_PAUSE: Millis = 30
 _RENEWAL_PAUSE: Millis = 40
-_LONGEST_PAUSE: Millis = 480
+_MAX_PAUSE: Millis = 480
 
 _ENDING = frozenset((MovePhase.STOPPING, MovePhase.RESCUING))
 _COPYING = frozenset((MovePhase.COPYING, MovePhase.REFRESHING))
@@ -62,14 +63,14 @@
 def begin(
     source: UpstreamEntry, backup: UpstreamEntry | None = None
 ) -> MoveState:
-    """Make the state of a generation that runs at its first engine."""
+    """Return the state of a generation that runs at its first engine."""
     return MoveState(source, backup=backup)
 
 
 def decide(state: MoveState, message: Message) -> Decision:
-    """Take one message about a generation.
+    """Apply one message about a generation.
 
-    :returns: the next state, and what to do.
+    :returns: the next state, and the actions to perform.
     """
     match message:
         case TargetChosen(target=target):
@@ -98,16 +99,16 @@
 
 def choose_pause(state: MoveState) -> Millis:
     """Return how long to wait before the copy is renewed."""
-    return _double(_RENEWAL_PAUSE, state.renewals)
+    return _double_pause(_RENEWAL_PAUSE, state.renewals)
 
 
 def is_stopped(state: MoveState) -> bool:
-    """Tell whether the generation was told to stop where it ran."""
+    """Return whether the generation was told to stop at its source."""
     return state.phase in _STOPPED or state.phase in _ENDING
 
 
 def _choose(state: MoveState, target: UpstreamEntry) -> Decision:
-    if state.phase is not MovePhase.SETTLED or state.tries >= MOST_TRIES:
+    if state.phase is not MovePhase.SETTLED or state.tries >= MAX_TRIES:
         return state, ()
     after = replace(
         state,
@@ -140,7 +141,7 @@
 def _renew(state: MoveState) -> Decision:
     if state.phase is not MovePhase.COPIED:
         return state, ()
-    if state.renewals >= MOST_RENEWALS:
+    if state.renewals >= MAX_RENEWALS:
         return _stop(state)
     after = replace(
         state, phase=MovePhase.REFRESHING, renewals=state.renewals + 1
@@ -148,8 +149,8 @@
     return after, (Copy(last=False),)
 
 
-def _double(first: Millis, times: int) -> Millis:
-    return min(first << times, _LONGEST_PAUSE)
+def _double_pause(first: Millis, times: int) -> Millis:
+    return min(first << times, _MAX_PAUSE)
 
 
 def _reject_copy(state: MoveState, rejected: CopyRejected) -> Decision:
@@ -163,7 +164,7 @@
         return after, ()
     if state.phase is MovePhase.RESCUING:
         return _fall_back(state)
-    if state.tries >= MOST_TRIES:
+    if state.tries >= MAX_TRIES:
         return _give_up(state), ()
     tried = replace(state, tries=state.tries + 1)
     match rejected.fault:
@@ -174,7 +175,7 @@
         ):
             return replace(tried, phase=MovePhase.COPIED), (AwaitQuiet(),)
         case CopyFault.BUSY | CopyFault.NO_ANSWER:
-            pause = _double(_RETRY_PAUSE, state.tries)
+            pause = _double_pause(_RETRY_PAUSE, state.tries)
             return tried, (Copy(last=stopping, pause=pause),)
         case CopyFault.NO_ROOM | CopyFault.UNKNOWN_RUN:
             if stopping:
@@ -199,7 +200,7 @@
 
 
 def _rescue(state: MoveState, target: UpstreamEntry | None) -> Decision:
-    """Stop the generation at its source, if it runs on behind the link."""
+    """Stop the generation at its source, where it may still be running."""
     if state.phase is not MovePhase.RESCUING:
         return state, ()
     if target is None:
@@ -208,14 +209,14 @@
 
 
 def _fall_back(state: MoveState) -> Decision:
-    """Go on from the backup; the source has nothing that could run on."""
+    """Resume from the backup; the source has nothing to resume from."""
     if state.backup is None:
         return replace(state, phase=MovePhase.LOST), (Cut(),)
     return replace(state, phase=MovePhase.AT_BACKUP), (Resume(state.backup),)
 
 
 def _give_up(state: MoveState) -> MoveState:
-    """Return to the source; what was copied still serves if it breaks."""
+    """Stay at the source; an existing copy still serves if its link breaks."""
     return replace(state, phase=MovePhase.SETTLED)
 
 
@@ -227,7 +228,7 @@
 
 
 def _lose_backup(state: MoveState) -> MoveState:
-    """Count on the backup no more, unless it already serves."""
+    """Drop the backup, unless the generation already resumes from it."""
     if state.phase is MovePhase.AT_BACKUP:
         return state
     return replace(state, backup=None)
--- a/src/cartdale/moves/driver.py
+++ b/src/cartdale/moves/driver.py
@@ -1,4 +1,4 @@
-"""Know which generations run here, and move them when their engine leaves."""
+"""Track the generations of this instance and move them off leaving engines."""
 
 from collections.abc import Callable
 
@@ -13,27 +13,30 @@
     SAME_DOMAIN_FACTOR,
     SourceLink,
 )
-from cartdale.moves.leaving import ASK_EVERY, LeavingEngine, read_report
+from cartdale.moves.leaving import QUERY_INTERVAL, LeavingEngine, read_report
 from cartdale.moves.ports import MovableGeneration
 from cartdale.relay.types import UpstreamPort
 from cartdale.routes.types import EngineSpec
 from cartdale.switches import Mechanism
 
-#: An engine is asked by the one who does so for all at each second look: its
-#: report is half a second old, and it leaves 1.5 s and more after its notice.
-#: At each look while the store is lost, where the notice would be seen else.
-_LOOKS_PER_QUESTION = 2
-#: Where an engine has others in its failure domain, some targets are among
-#: them and some elsewhere.
+#: The instance that queries an engine for all instances does so at every second
+#: check: the report is half a second old, and the engine leaves 1.5 s or more
+#: after its notice. While the store, which normally delivers the notice, is
+#: lost, the engine is queried at every check.
+_CHECKS_PER_QUERY = 2
+#: If an engine has peers in its failure domain, some targets are among them
+#: and some in other domains.
 _MIXED_FACTOR = (SAME_DOMAIN_FACTOR + OTHER_DOMAIN_FACTOR) / 2
 
 
 class Mover:
-    """Move this instance's generations away from engines that leave.
+    """Move this instance's generations off engines that are leaving.
 
-    :param cut_off: tells whether neither the store nor peers can be heard.
-    :param asks: tells whether this instance asks an engine for all others.
-    :param store_lost: tells whether the store does not answer here.
+    :param is_isolated: returns whether neither the store nor any peer is
+        reachable.
+    :param is_querier: returns whether this instance queries an engine on
+        behalf of all instances.
+    :param store_lost: returns whether the store is unreachable from here.
     """
 
     def __init__(
@@ -41,127 +44,131 @@
         fleet: Fleet,
         upstreams: UpstreamPort,
         clock: Clock,
-        cut_off: Callable[[], bool],
-        asks: Callable[[UpstreamEntry], bool],
+        is_isolated: Callable[[], bool],
+        is_querier: Callable[[UpstreamEntry], bool],
         store_lost: Callable[[], bool],
     ) -> None:
         self._store_lost = store_lost
-        self._cut_off = cut_off
-        self._asks = asks
+        self._is_isolated = is_isolated
+        self._is_querier = is_querier
         self._fleet = fleet
         self._upstreams = upstreams
         self._clock = clock
-        #: The upstreams that each generation was told to leave. Callers may
-        #: give two requests one id, or none, so that ids are no keys.
-        self._told_by_generation: dict[MovableGeneration, set[str]] = {}
+        #: The upstreams that each generation was told to leave. Request ids
+        #: can't be keys: callers may reuse an id, or give none.
+        self._ordered_by_generation: dict[MovableGeneration, set[str]] = {}
         self._nursery: trio.Nursery | None = None
 
     async def run(self) -> None:
-        """Move generations, for ever."""
+        """Move generations until cancelled."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             self._fleet.on_leaving = self.begin
-            self._fleet.on_restarted = self.forget_life
-            self._fleet.on_evacuating = self.give_up_backups
-            looks = 0
+            self._fleet.on_restarted = self.handle_restart
+            self._fleet.on_evacuating = self.drop_backups_in
+            checks = 0
             while True:
-                await trio.sleep(as_seconds(ASK_EVERY))
+                await trio.sleep(as_seconds(QUERY_INTERVAL))
                 self._move_late_arrivals()
-                looks += 1
-                await self._ask_engines(looks)
+                checks += 1
+                await self._query_engines(checks)
 
     def add(self, generation: MovableGeneration) -> None:
-        """Watch over a generation."""
-        self._told_by_generation[generation] = set()
+        """Track a generation."""
+        self._ordered_by_generation[generation] = set()
 
     def list_generations(self) -> list[MovableGeneration]:
-        """Return the generations that are watched over."""
-        return list(self._told_by_generation)
+        """Return the tracked generations."""
+        return list(self._ordered_by_generation)
 
     def remove(self, generation: MovableGeneration) -> None:
-        """Forget a generation that has ended."""
-        self._told_by_generation.pop(generation, None)
+        """Stop tracking a generation that has ended."""
+        self._ordered_by_generation.pop(generation, None)
 
     def begin(self, upstream: str) -> None:
-        """Move everything away from an upstream, and give up backups there.
+        """Move all generations off an upstream, and drop the backups there.
 
-        A generation that stayed at an engine that leaves, since it had a
-        backup, is told again at once: engines are often reclaimed together,
-        and each tenth of a second is a third of a copy.
+        A generation that stayed at a leaving engine because it had a backup is
+        told again at once if that backup is lost: engines are often reclaimed
+        together, and 100 ms is a third of the time of a copy.
         """
-        left = {upstream} | self._lose_backups_at(upstream)
+        affected = {upstream} | self._lose_backups_at(upstream)
         if self._nursery is not None:
-            for name in left:
-                self._nursery.start_soon(self._empty, name)
+            for name in affected:
+                self._nursery.start_soon(self._move_all_from, name)
 
-    def forget_life(self, upstream: str) -> None:
-        """Take what an upstream kept as lost: it started again."""
-        for told in self._told_by_generation.values():
-            told.discard(upstream)
+    def handle_restart(self, upstream: str) -> None:
+        """Drop the backups at an upstream that restarted."""
+        for ordered in self._ordered_by_generation.values():
+            ordered.discard(upstream)
         for name in self._lose_backups_at(upstream):
             self.begin(name)
 
-    def give_up_backups(self, failure_domain: str) -> None:
-        """Count on no backup in a failure domain that is evacuated.
+    def drop_backups_in(self, failure_domain: str) -> None:
+        """Drop all backups in a failure domain that is evacuated.
 
-        What runs there goes on to its end: it is no new work, and copies of
-        all of it would fill the engines that are left.
+        Generations that run there continue to their end: an evacuation stops
+        only new work, and copies of all of them would fill the remaining
+        engines.
         """
         for name, upstream in self._fleet.state.upstreams_by_id.items():
             if upstream.entry.failure_domain == failure_domain:
                 self._lose_backups_at(name)
 
     def _lose_backups_at(self, upstream: str) -> set[str]:
-        """Give up backups; return the leaving engines that so are left."""
-        left: set[str] = set()
-        for each, told in self._told_by_generation.items():
+        """Drop backups; return the leaving engines to move generations from.
+
+        These are the leaving engines whose generations lost their backups.
+        """
+        affected: set[str] = set()
+        for each, ordered in self._ordered_by_generation.items():
             if each.backup == upstream:
                 each.lose_backup()
-                told.discard(each.upstream)
+                ordered.discard(each.upstream)
                 if self._is_leaving(each.upstream):
-                    left.add(each.upstream)
-        return left
+                    affected.add(each.upstream)
+        return affected
 
-    async def _empty(self, name: str) -> None:
-        """Move this instance's generations away from an engine."""
+    async def _move_all_from(self, name: str) -> None:
+        """Move this instance's generations off an engine."""
         if not self._fleet.switches.is_enabled(Mechanism.MOVES):
             return
         upstream = self._fleet.find(name)
-        own = self._untold_at(name)
+        own = self._unordered_at(name)
         engine = self._engine_of(upstream.entry) if upstream else None
         if upstream is None or engine is None or not (own and engine.moves):
             return
         link = self._describe_link(upstream.entry, engine)
         for each in own:
-            self._told_by_generation[each].add(name)
+            self._ordered_by_generation[each].add(name)
         leaving = LeavingEngine(
             self._fleet, self._upstreams, self._clock, upstream.entry, link
         )
         await leaving.move_all(own)
 
     def _move_late_arrivals(self) -> None:
-        """Move what came to an engine only after it began to leave."""
+        """Move generations that reached an engine after it began to leave."""
         for name in self._fleet.state.upstreams_by_id:
-            if self._is_leaving(name) and self._untold_at(name):
+            if self._is_leaving(name) and self._unordered_at(name):
                 self.begin(name)
 
-    async def _ask_engines(self, looks: int) -> None:
-        """Ask engines themselves, as nobody may tell that they leave.
+    async def _query_engines(self, checks: int) -> None:
+        """Query engines directly, since no other source may announce a notice.
 
-        :param looks: times that this was considered.
+        :param checks: number of checks so far.
         """
-        if self._cut_off():
-            names = {each.upstream for each in self._told_by_generation}
-        elif self._store_lost() or looks % _LOOKS_PER_QUESTION == 0:
+        if self._is_isolated():
+            names = {each.upstream for each in self._ordered_by_generation}
+        elif self._store_lost() or checks % _CHECKS_PER_QUERY == 0:
             known = self._fleet.state.upstreams_by_id
-            names = {name for name in known if self._probes(name)}
+            names = {name for name in known if self._is_queried_here(name)}
         else:
             return
         async with trio.open_nursery() as nursery:
             for name in names:
-                nursery.start_soon(self._ask, name)
+                nursery.start_soon(self._query, name)
 
-    async def _ask(self, name: str) -> None:
+    async def _query(self, name: str) -> None:
         known = self._fleet.find(name)
         if known is None or known.lifecycle is Lifecycle.LEAVING:
             return
@@ -176,24 +183,24 @@
         known = self._fleet.find(name)
         return known is not None and known.lifecycle is Lifecycle.LEAVING
 
-    def _probes(self, name: str) -> bool:
+    def _is_queried_here(self, name: str) -> bool:
         known = self._fleet.find(name)
         if known is None or self._engine_of(known.entry) is None:
             return False
-        return self._asks(known.entry)
+        return self._is_querier(known.entry)
 
-    def _untold_at(self, upstream: str) -> list[MovableGeneration]:
-        """Return the generations there that were not told to leave yet."""
+    def _unordered_at(self, upstream: str) -> list[MovableGeneration]:
+        """Return the generations there that were not yet told to leave."""
         return [
             each
-            for each, told in self._told_by_generation.items()
-            if each.upstream == upstream and upstream not in told
+            for each, ordered in self._ordered_by_generation.items()
+            if each.upstream == upstream and upstream not in ordered
         ]
 
     def _describe_link(
         self, entry: UpstreamEntry, engine: EngineSpec
     ) -> SourceLink:
-        """Return what is known of the link that copies leave by."""
+        """Return the properties of the engine's outbound link."""
         has_neighbor = any(
             each.lifecycle is Lifecycle.LIVE
             and each.entry.service == entry.service
--- a/src/cartdale/moves/leaving.py
+++ b/src/cartdale/moves/leaving.py
@@ -1,4 +1,4 @@
-"""Move generations away from one engine that leaves, while it serves on."""
+"""Move generations off one leaving engine while it still serves."""
 
 from collections.abc import Sequence
 
@@ -12,33 +12,33 @@
 from cartdale.fleet.types import EngineReport, RunReport, UpstreamEntry
 from cartdale.formatting import format_log_fields
 from cartdale.moves.estimates import (
-    SERVES_ON,
-    TOKEN_LONGEST,
+    EXPECTED_NOTICE,
+    MAX_TOKEN_TIME,
     Departure,
     SourceLink,
 )
 from cartdale.moves.ports import MovableGeneration
-from cartdale.moves.schedule import Turn, find_turn, line_up, may_begin
+from cartdale.moves.schedule import Turn, find_turn, may_begin, order_departures
 from cartdale.relay.types import UpstreamPort
 from cartdale.switches import Mechanism
 
-#: Between looks at whether those before have their copies.
-_LOOK_EVERY: Millis = 20
-#: Reports show an engine as it was about half a second ago.
+#: Interval of the checks whether the copies ahead are complete.
+_TURN_CHECK_INTERVAL: Millis = 20
+#: Age of an engine's reports: about half a second.
 _REPORT_LAG: Millis = 500
-#: Reports that are read to learn when an engine ends.
-_END_READS = 2
-#: Between questions to an engine that leaves or may leave, and between looks
-#: for generations that came to one late.
-ASK_EVERY: Millis = 300
+#: Maximum number of reports read to find out when an engine ends.
+_MAX_END_READS = 2
+#: Interval of the queries to an engine that leaves or may leave, and of the
+#: checks for generations that reached a leaving engine late.
+QUERY_INTERVAL: Millis = 300
 
 
 class LeavingEngine:
-    """Move generations away from an engine before it ends.
+    """Move generations off an engine before it ends.
 
-    :param fleet: knows from peers who has left already.
-    :param entry: what the engine wrote of itself.
-    :param link: what carries the copies.
+    :param fleet: knows from peers which generations have left already.
+    :param entry: the engine's registration.
+    :param link: the link that carries the copies.
     """
 
     def __init__(
@@ -58,16 +58,16 @@
     async def move_all(self, own: list[MovableGeneration]) -> None:
         """Move this instance's generations, each in its turn.
 
-        :param own: those that run at the engine.
+        :param own: this instance's generations at the engine.
         """
         noticed_at = self._clock.now()
-        held = await read_report(self._upstreams, self._entry)
+        report = await read_report(self._upstreams, self._entry)
         load = self._fleet.load_at(self._entry.upstream)
-        queue = line_up(held.runs, [_describe(each) for each in own])
-        self._log_begin(held, load, queue, len(own))
-        departure = Departure(until=noticed_at + _estimate_rest(held))
+        queue = order_departures(report.runs, [_describe(each) for each in own])
+        self._log_begin(report, load, queue, len(own))
+        departure = Departure(until=noticed_at + _estimate_time_left(report))
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._learn_end, departure)
+            nursery.start_soon(self._read_end_time, departure)
             for generation in own:
                 turn = find_turn(generation.request_id, queue, self._link, load)
                 self._log_turn(generation, turn)
@@ -77,7 +77,7 @@
 
     def _log_begin(
         self,
-        held: EngineReport,
+        report: EngineReport,
         load: Load,
         queue: Sequence[RunReport],
         own: int,
@@ -85,9 +85,9 @@
         logger.info(
             'emptying upstream',
             upstream=self._entry.upstream,
-            leaves_in=held.leaves_in,
+            leaves_in=report.leaves_in,
             own=own,
-            reported=len(held.runs),
+            reported=len(report.runs),
             takes=sum(self._link.estimate(run.tokens) for run in queue),
             awaiting_copy=load.awaiting_copy,
             exempt=load.exempt,
@@ -105,15 +105,15 @@
             most_left=generation.most_left,
         )
 
-    async def _learn_end(self, departure: Departure) -> None:
-        """Read when the engine is gone, once its reports can tell."""
+    async def _read_end_time(self, departure: Departure) -> None:
+        """Read the engine's end from its reports, once they can state it."""
         await trio.sleep(as_seconds(_REPORT_LAG))
-        for _ in range(_END_READS):
-            held = await read_report(self._upstreams, self._entry)
-            if held.leaves_in is None:
-                await trio.sleep(as_seconds(ASK_EVERY))
+        for _ in range(_MAX_END_READS):
+            report = await read_report(self._upstreams, self._entry)
+            if report.leaves_in is None:
+                await trio.sleep(as_seconds(QUERY_INTERVAL))
                 continue
-            departure.until = self._clock.now() + held.leaves_in - _REPORT_LAG
+            departure.until = self._clock.now() + report.leaves_in - _REPORT_LAG
             logger.info(
                 'upstream ends',
                 upstream=self._entry.upstream,
@@ -128,17 +128,17 @@
         departure: Departure,
         load: Load,
     ) -> None:
-        """Move a generation, unless its copy would only hold up others.
+        """Move a generation, unless its copy would only delay others.
 
-        :param load: of the engine when it began to leave.
+        :param load: the engine's load when it began to leave.
         """
         began = self._clock.now()
-        if began + generation.most_left * TOKEN_LONGEST <= departure.until:
+        if began + generation.most_left * MAX_TOKEN_TIME <= departure.until:
             generation.stay()
             return
         if self._fleet.switches.is_enabled(Mechanism.TURNS):
             await self._wait_for_turn(turn, began + turn.waits, load)
-        if departure.leaves_time(self._clock.now(), turn.takes):
+        if departure.allows_copy(self._clock.now(), turn.takes):
             await generation.leave(departure)
             return
         logger.info(
@@ -153,9 +153,10 @@
     async def _wait_for_turn(
         self, turn: Turn, until: Millis, load: Load
     ) -> None:
-        """Wait until those before have their copies, or no longer.
+        """Wait until the copies ahead are complete, or the wait runs out.
 
-        :param load: of the engine when it began to leave.
+        :param until: end of the wait.
+        :param load: the engine's load when it began to leave.
         """
         now = self._clock.now()
         busy_at = now
@@ -166,18 +167,18 @@
             ended = load.awaiting_copy - now_load.awaiting_copy
             if may_begin(turn, ended, now - busy_at):
                 break
-            await trio.sleep(as_seconds(_LOOK_EVERY))
+            await trio.sleep(as_seconds(_TURN_CHECK_INTERVAL))
             now = self._clock.now()
 
 
 async def read_report(
     upstreams: UpstreamPort, entry: UpstreamEntry
 ) -> EngineReport:
-    """Read what an engine holds; nothing when it does not answer."""
+    """Read an engine's report; return an empty one if it does not respond."""
     report = await upstreams.report(entry.address)
     match report:
-        case Success(EngineReport() as held):
-            return held
+        case Success(EngineReport() as engine_report):
+            return engine_report
         case Failure(failure):
             logger.info(
                 'report missing',
@@ -193,8 +194,8 @@
     )
 
 
-def _estimate_rest(held: EngineReport) -> Millis:
-    """Return how long an engine serves on, from its report if it tells."""
-    if held.leaves_in is None:
-        return SERVES_ON
-    return held.leaves_in - _REPORT_LAG
+def _estimate_time_left(report: EngineReport) -> Millis:
+    """Return an engine's remaining time, from its report if that states it."""
+    if report.leaves_in is None:
+        return EXPECTED_NOTICE
+    return report.leaves_in - _REPORT_LAG
--- a/src/cartdale/moves/ports.py
+++ b/src/cartdale/moves/ports.py
@@ -1,4 +1,4 @@
-"""What the mover needs of a running generation."""
+"""The interface of a running generation that the mover uses."""
 
 from typing import Protocol
 
@@ -6,7 +6,7 @@
 
 
 class MovableGeneration(Protocol):
-    """Move one generation away from its engine."""
+    """A generation that can be moved off its engine."""
 
     @property
     def request_id(self) -> str:
@@ -18,25 +18,25 @@
 
     @property
     def tokens(self) -> int:
-        """Return the memory that it holds, in tokens."""
+        """Return the size of its memory in tokens."""
 
     @property
     def events(self) -> int:
-        """Return how many events the caller got."""
+        """Return the number of events that the caller received."""
 
     @property
     def most_left(self) -> int:
-        """Return how many tokens it makes at the most from here."""
+        """Return the maximum number of tokens that it still generates."""
 
     @property
     def backup(self) -> str:
         """Return the id of the engine that keeps its backup; empty for none."""
 
     def lose_backup(self) -> None:
-        """Count on its backup no more: the backup's engine leaves."""
+        """Drop its backup, since the backup's engine is leaving."""
 
     def stay(self) -> None:
-        """Tell others that it needs no copy: it ends before the engine."""
+        """Announce that it needs no copy, since it ends before the engine."""
 
     async def leave(self, departure: Departure) -> None:
-        """Move away from the engine."""
+        """Move off the engine."""
--- a/src/cartdale/moves/types.py
+++ b/src/cartdale/moves/types.py
@@ -9,38 +9,38 @@
 
 
 class MovePhase(StrEnum):
-    """Say where a generation stands."""
+    """The phase of a generation's move."""
 
-    #: It runs at its source; nothing is under way.
+    #: It runs at its source; no move is in progress.
     SETTLED = 'settled'
     #: It runs at its source while its memory is copied.
     COPYING = 'copying'
-    #: It runs at its source; a copy that is a little old lies at the target.
+    #: It runs at its source; the target holds a slightly older copy.
     COPIED = 'copied'
-    #: It runs at its source; a copy lies at the target and is renewed.
+    #: It runs at its source; the target holds a copy that is being renewed.
     REFRESHING = 'refreshing'
-    #: It was told to stop, and the rest of its memory is copied.
+    #: It was told to stop, and the remaining memory is copied.
     STOPPING = 'stopping'
-    #: It stopped; a copy lies at the target.
+    #: It stopped; the target holds its memory.
     AT_TARGET = 'at_target'
-    #: It stopped; its memory lies at the source.
+    #: It stopped; the source holds its memory.
     AT_SOURCE = 'at_source'
-    #: Its link broke; it is stopped at its source, if it runs on there.
+    #: Its link broke; it is being stopped at its source, if it still runs.
     RESCUING = 'rescuing'
-    #: It has ended at its source; a backup lies at another engine.
+    #: It ended at its source; another engine holds a backup.
     AT_BACKUP = 'at_backup'
-    #: It can't go on anywhere.
+    #: It can't be resumed anywhere.
     LOST = 'lost'
 
 
 @dataclass(frozen=True, slots=True)
 class MoveState:
-    """Hold where a generation runs and where it goes.
+    """The engines of a generation, and the phase of its move.
 
-    :param handle: the newest copy's name; empty for none.
-    :param tries: copies that were refused or unanswered at this engine.
-    :param renewals: times that its copy was renewed over a busy link.
-    :param backup: engine that is kept up to date with its memory.
+    :param handle: handle of the newest copy; empty for none.
+    :param tries: copies refused or unanswered at this engine.
+    :param renewals: renewals of its copy over a busy link.
+    :param backup: engine that holds an up-to-date backup of its memory.
     """
 
     source: UpstreamEntry
@@ -54,33 +54,33 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetChosen:
-    """The source leaves, and an engine has room for the generation."""
+    """The source is leaving, and an engine has capacity for the generation."""
 
     target: UpstreamEntry
 
 
 @dataclass(frozen=True, slots=True)
 class CopyEnded:
-    """A copy is done."""
+    """A copy completed."""
 
     handle: str
 
 
 @dataclass(frozen=True, slots=True)
 class LinkQuiet:
-    """The source's link is free, so that the rest is copied at once."""
+    """The source's link is free, so a final copy would be quick."""
 
 
 @dataclass(frozen=True, slots=True)
 class LinkBusy:
-    """Others copy over the source's link, so that a stop would last."""
+    """Other copies use the source's link, so a stop would take long."""
 
 
 @dataclass(frozen=True, slots=True)
 class CopyRejected:
-    """A copy was not made, or its answer was lost.
+    """A copy was not made, or its response was lost.
 
-    :param handle: names the memory that a stopped source keeps.
+    :param handle: handle of the memory that a stopped source keeps.
     """
 
     fault: CopyFault
@@ -89,14 +89,14 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkEnded:
-    """The stream ended without its end."""
+    """The stream broke off before its final event."""
 
 
 @dataclass(frozen=True, slots=True)
 class RescueTarget:
-    """An engine was looked for, for a generation whose link broke.
+    """The result of the search for an engine after a link broke.
 
-    :param target: ``None`` when no engine has room.
+    :param target: ``None`` if no engine has capacity.
     """
 
     target: UpstreamEntry | None
@@ -104,9 +104,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Resumed:
-    """The generation goes on where it was sent.
+    """The generation continues at the engine that it was sent to.
 
-    :param backup: engine that is kept up to date from now on.
+    :param backup: engine that holds its backup from now on.
     """
 
     backup: UpstreamEntry | None = None
@@ -114,15 +114,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ResumeRejected:
-    """The engine did not take the generation, and did not run it."""
+    """The engine rejected the generation without executing it."""
 
 
 @dataclass(frozen=True, slots=True)
 class Copy:
     """Copy the memory to the target.
 
-    :param last: whether the generation stops first.
-    :param pause: how long to wait before.
+    :param last: whether the generation is stopped first.
+    :param pause: delay before the copy.
     """
 
     last: bool
@@ -131,7 +131,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChooseAgain:
-    """Look for another target."""
+    """Choose another target."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -141,12 +141,12 @@
 
 @dataclass(frozen=True, slots=True)
 class AwaitCopy:
-    """Wait for the copy that is under way."""
+    """Wait for the copy in progress."""
 
 
 @dataclass(frozen=True, slots=True)
 class ChooseRescue:
-    """Look for an engine that can take a generation whose link broke."""
+    """Choose an engine for a generation whose link broke."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -158,12 +158,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Cut:
-    """End the answer; the generation is lost."""
+    """End the response; the generation is lost."""
 
 
 @dataclass(frozen=True, slots=True)
 class BackupLost:
-    """The engine of the backup leaves or is gone."""
+    """The engine that holds the backup is leaving or gone."""
 
 
 Message = (
--- a/tests/load/test_leaving_wave.py
+++ b/tests/load/test_leaving_wave.py
@@ -1,9 +1,10 @@
-"""The reclaim wave: an engine leaves, and nobody knows who is the first.
+"""Reclaimed engines: an idle link is used, whichever copy should come first.
 
 An engine gives 1.5 to 2.1 s of notice, and its link carries one generation in
-0.16 to 0.33 s, so that four or five can leave if the link is in use all the
-time. The order is derived by each instance from a report that is half a second
-old: those that it names first may have ended, or need no copy.
+0.16 to 0.33 s, so four or five can leave if the link is never idle. Each
+instance derives the order from a report that is half a second old: the
+generations that it lists first may have ended, or need no copy, and the link
+would stay idle in their turns.
 """
 
 from dataclasses import dataclass
@@ -22,10 +23,10 @@
 from cartdale.moves.schedule import Turn
 from cartdale.routes.types import EngineSpec
 
-#: 55 MB a generation over 2.7 Gbit/s.
+#: 55 MB per generation over 2.7 Gbit/s.
 ENGINE = EngineSpec(24, 34000, 18432, 2700.0, 4, moves=True, backups=True)
 SOURCE = UpstreamEntry('a', 's', 'a:1', 'west', 24)
-#: Time left as the notice is seen, where the store is away.
+#: Time left when the notice is noticed without the store, in milliseconds.
 LEAVES_IN = 1100
 REPORT_LAG = 500
 DRAFTS = 4
@@ -33,7 +34,7 @@
 
 @dataclass
 class Draft:
-    """A generation whose copy uses the link for its time."""
+    """A generation whose copy occupies the link."""
 
     fleet: Fleet
     assignment: Assignment
@@ -46,10 +47,10 @@
     saved: bool = False
 
     def lose_backup(self) -> None:
-        """It has none."""
+        """Do nothing: it has no backup."""
 
     def stay(self) -> None:
-        """It never ends before its engine."""
+        """Do nothing: it never ends before its engine."""
 
     async def leave(self, departure) -> None:
         self.fleet.loads.mark_copying(self.assignment, copying=True)
@@ -60,7 +61,7 @@
 
 
 class Reporting:
-    """Tell of checks that were there half a second ago, before the drafts."""
+    """Report two checks that ran half a second ago, ahead of the drafts."""
 
     def __init__(self, drafts: list[Draft]) -> None:
         checks = [
@@ -105,7 +106,7 @@
 async def test_turns_alone_leave_the_link_idle(
     autojump_clock, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The policy before, beside which the other is measured."""
+    """The earlier policy, as a baseline for the test above."""
 
     def begins_in_turn(turn: Turn, ended: int, idle: int) -> bool:
         return ended >= turn.ahead
--- a/tests/test_leaving_engines.py
+++ b/tests/test_leaving_engines.py
@@ -1,4 +1,4 @@
-"""Leaving: generations leave an engine in turn, and who is in time."""
+"""Leaving engines: the order of departures, and which copies are in time."""
 
 from dataclasses import dataclass
 
@@ -23,7 +23,7 @@
     ends_in_time,
 )
 from cartdale.moves.leaving import LeavingEngine
-from cartdale.moves.schedule import find_turn, line_up
+from cartdale.moves.schedule import find_turn, order_departures
 from cartdale.relay.types import LinkBroke
 from cartdale.routes.types import EngineSpec, RoutingTable, ServiceSpec
 
@@ -51,11 +51,11 @@
         RunReport('large', 6000, 1, 0),
         RunReport('small', 1000, 1, 0),
     )
-    queue = line_up(reported, ())
+    queue = order_departures(reported, ())
     names = [run.request_id for run in queue]
     assert names == ['small', 'old', 'young', 'large']
     unreported = RunReport('new', 500, 0, 0)
-    longer = line_up(reversed(reported), (reported[1], unreported))
+    longer = order_departures(reversed(reported), (reported[1], unreported))
     assert longer == (*queue, unreported)
 
 
@@ -63,7 +63,7 @@
     reported = [
         RunReport(str(rank), 3000, count - rank, 0) for rank in range(count)
     ]
-    return line_up(reported, ())
+    return order_departures(reported, ())
 
 
 def list_ahead(load: Load) -> list[int]:
@@ -89,7 +89,7 @@
 
 
 def test_turn_does_not_wait_for_those_that_have_ended() -> None:
-    # Two of nine ended since the report; whoever they were, someone begins.
+    # Two of nine ended since the report; whichever they were, a copy begins.
     assert list_ahead(Load(runs=7)) == [0, 0, 0, 1, 2, 3, 4, 5, 6]
 
 
@@ -101,17 +101,17 @@
     assert Assignment('a', 100, 10).load().awaiting_copy == 1
 
 
-def test_copy_that_can_not_end_before_its_engine_is_told() -> None:
+def test_copy_that_would_end_after_its_engine_is_not_allowed() -> None:
     alone = (RunReport('a', 3000, 1, 0),)
     turn = find_turn('a', alone, SourceLink(ENGINE), Load(runs=1))
     departure = Departure(until=1000)
-    assert departure.leaves_time(0, turn.takes)
-    assert not departure.leaves_time(700, turn.takes)
+    assert departure.allows_copy(0, turn.takes)
+    assert not departure.allows_copy(700, turn.takes)
 
 
 @dataclass(eq=False)
 class Running:
-    """Stay where it is."""
+    """A generation that records a stay and never moves."""
 
     upstream: str
     request_id: str = ''
@@ -129,10 +129,10 @@
         self.stayed = True
 
     async def leave(self, departure: Departure) -> None:
-        """Stay."""
+        """Do nothing."""
 
 
-def test_generations_with_one_id_are_told_apart() -> None:
+def test_generations_with_the_same_id_are_distinguished() -> None:
     clock = VirtualClock()
     mover = Mover(Fleet(clock, 'west', 1), None, clock, bool, bool, bool)
     first, second = Running('a'), Running('b')
@@ -143,7 +143,7 @@
 
 
 class SilentUpstreams:
-    """Answer no report, and count the questions."""
+    """Fail all report requests, and record their addresses."""
 
     def __init__(self) -> None:
         self.asked: list[str] = []
@@ -153,7 +153,7 @@
         return Failure(LinkBroke('silent'))
 
 
-async def test_who_ends_before_the_engine_tells_that_it_stays(
+async def test_generation_that_ends_before_its_engine_announces_its_stay(
     autojump_clock,
 ) -> None:
     clock = SystemClock()
@@ -171,7 +171,9 @@
     assert not running.stayed
 
 
-async def test_who_loses_its_backup_leaves_at_once(autojump_clock) -> None:
+async def test_generation_that_loses_its_backup_leaves_at_once(
+    autojump_clock,
+) -> None:
     clock = SystemClock()
     fleet = Fleet(clock, 'west', 1)
     fleet.table = RoutingTable(1, services_by_name={'s': SPEC})
@@ -189,7 +191,7 @@
         before = len(upstreams.asked)
         assert before
         fleet.dispatch(EntryRemoved('b'))
-        # Far less than the time between two looks for late arrivals.
+        # Far less than the interval of the checks for late arrivals.
         await trio.sleep(0.01)
         assert upstreams.asked[before:].count('a:1') == 1
         nursery.cancel_scope.cancel()
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -1,4 +1,4 @@
-"""Moves: at any moment at most one engine works on a generation."""
+"""Moves: at most one engine works on a generation at any time."""
 
 import pytest
 from hypothesis import given
@@ -6,8 +6,8 @@
 
 from cartdale.fleet.types import UpstreamEntry
 from cartdale.moves.decide import (
-    MOST_RENEWALS,
-    MOST_TRIES,
+    MAX_RENEWALS,
+    MAX_TRIES,
     begin,
     choose_pause,
     decide,
@@ -50,9 +50,9 @@
 )
 
 
-def play(state, *messages):
+def play(state, *received):
     actions = ()
-    for message in messages:
+    for message in received:
         state, actions = decide(state, message)
     return state, actions[0] if actions else None
 
@@ -160,7 +160,7 @@
     lost = CopyRejected(CopyFault.NO_ANSWER)
     state, action = play(state, lost)
     assert action == Copy(last=False, pause=30)
-    state, action = play(state, *[lost] * MOST_TRIES)
+    state, action = play(state, *[lost] * MAX_TRIES)
     assert action is None
     assert state.phase is MovePhase.SETTLED
 
@@ -222,10 +222,10 @@
 
 
 @given(st.lists(messages(), max_size=30), st.booleans())
-def test_resumes_only_what_no_engine_runs(told, backed_up: bool) -> None:
-    """A resume follows a stop, the engine's silence or its link's end."""
+def test_resumes_only_what_no_engine_runs(received, backed_up: bool) -> None:
+    """A resume follows a stop, an unresponsive engine or a broken link."""
     state = begin(SOURCE, SPARE if backed_up else None)
-    for message in told:
+    for message in received:
         before = state
         state, actions = decide(state, message)
         if not any(isinstance(action, Resume) for action in actions):
@@ -245,8 +245,8 @@
         if action == Copy(last=False):
             renewals += 1
             state, action = play(state, CopyEnded(f'h{renewals}'))
-    assert renewals == MOST_RENEWALS
-    # Then it stops, and only the rest is left to be copied.
+    assert renewals == MAX_RENEWALS
+    # Then it stops, and only the remaining memory is copied.
     assert action == Copy(last=True)
     assert state.phase is MovePhase.STOPPING
     assert pauses == [40, 80, 160, 320, 480, 480]
@@ -255,7 +255,7 @@
 def test_generation_whose_copies_were_refused_stays() -> None:
     refused = CopyRejected(CopyFault.NO_ROOM)
     state = begin(SOURCE)
-    for _ in range(MOST_TRIES):
+    for _ in range(MAX_TRIES):
         state, action = play(state, TargetChosen(TARGET), refused)
         assert action == ChooseAgain()
     assert play(state, TargetChosen(TARGET)) == (state, None)
@@ -277,9 +277,9 @@
         *(CopyRejected(fault, 'kept') for fault in CopyFault),
     ]
 )
-#: A first copy and its renewals for each target, and a stop; twice for a
-#: rescue after it.
-MOST_COPIES = 2 * (MOST_TRIES + 1) * (MOST_RENEWALS + 2)
+#: A first copy, its renewals and a final copy for each target; doubled for a
+#: rescue that follows.
+MAX_COPIES = 2 * (MAX_TRIES + 1) * (MAX_RENEWALS + 2)
 
 
 @given(st.lists(ANSWERS, max_size=600), st.booleans())
@@ -291,4 +291,4 @@
     for answer in answers:
         state, actions = decide(state, answer)
         copies += sum(isinstance(action, Copy) for action in actions)
-    assert copies <= MOST_COPIES
+    assert copies <= MAX_COPIES
