--- a/src/cartdale/gateway/app.py
+++ b/src/cartdale/gateway/app.py
@@ -1,7 +1,7 @@
 """Serve callers' requests over HTTP.
 
-A plain ASGI application, since a framework would cost more for each event
-than passing it on does.
+This is a bare ASGI application: a framework would cost more per event than
+forwarding the event does.
 """
 
 from loguru import logger
@@ -13,7 +13,7 @@
 
 
 class GatewayApp:
-    """Answer callers' requests as an ASGI application."""
+    """ASGI application that serves callers' requests."""
 
     def __init__(self, ports: GatewayPorts) -> None:
         self._ports = ports
@@ -21,7 +21,7 @@
     async def __call__(
         self, scope: AsgiEvent, receive: Receive, send: Send
     ) -> None:
-        """Answer one ASGI connection."""
+        """Handle one ASGI connection."""
         if await accept_http_request(scope, receive, send):
             exchange = Exchange(self._ports, scope, receive, send)
             try:
--- a/src/cartdale/gateway/exchange.py
+++ b/src/cartdale/gateway/exchange.py
@@ -1,4 +1,4 @@
-"""Answer one request: route it, carry it and write the answer."""
+"""Handle one request: route it, forward it and write the response."""
 
 from dataclasses import replace
 from http import HTTPStatus
@@ -29,12 +29,12 @@
 from cartdale.routes.types import Customer, Route, RouteKind
 from cartdale.switches import Mechanism
 
-#: When a caller should come back to an instance that is not ready yet.
+#: ``Retry-After`` of an instance that is not ready yet.
 _NOT_READY_WAIT: Millis = 500
 
 
 class _Refused(Exception):
-    """Carry a refusal out of the routing of a request."""
+    """Raised while routing a request that is refused with a status."""
 
     def __init__(self, status: HTTPStatus) -> None:
         super().__init__(status)
@@ -42,9 +42,9 @@
 
 
 class Exchange:
-    """Answer one request.
+    """One request and its response.
 
-    :param scope: the request's head, as ASGI gives it.
+    :param scope: the request's head as an ASGI connection scope.
     """
 
     def __init__(
@@ -72,7 +72,7 @@
         return self._request.request_id
 
     async def answer(self) -> None:
-        """Read the request, carry it and write the answer."""
+        """Read the request, forward it and write the response."""
         body = await self._read_body()
         if body is None:
             return
@@ -80,19 +80,19 @@
         try:
             routed = self._route()
         except _Refused as refused:
-            await self._refuse_plainly(refused.status)
+            await self._refuse_with_status(refused.status)
             return
         if routed is None:
             wait = NotRun(NotRunReason.NOT_READY, _NOT_READY_WAIT)
             await self._refuse(wait)
             return
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._watch_caller, nursery.cancel_scope)
-            await self._carry(routed)
+            nursery.start_soon(self._watch_disconnect, nursery.cancel_scope)
+            await self._forward(routed)
             nursery.cancel_scope.cancel()
 
     async def _read_body(self) -> bytes | None:
-        """Return the body; ``None`` when the caller left or sent too much."""
+        """Return the body; ``None`` if the caller left or sent too much."""
         parts: list[bytes] = []
         size = 0
         limit = self._ports.table().limits.body_bytes
@@ -104,7 +104,9 @@
             parts.append(part)
             size += len(part)
             if size > limit:
-                await self._refuse_plainly(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
+                await self._refuse_with_status(
+                    HTTPStatus.REQUEST_ENTITY_TOO_LARGE
+                )
                 return None
             if not event.get('more_body', False):
                 return b''.join(parts)
@@ -125,19 +127,19 @@
     def _make_routed(
         self, route: Route, customer: Customer | None
     ) -> RoutedRequest:
-        longest = route.timeout
+        timeout = route.timeout
         if self._request.deadline:
-            longest = min(longest, self._request.deadline)
+            timeout = min(timeout, self._request.deadline)
         request = self._request
-        named = customer.name if customer else ''
+        customer_name = customer.name if customer else ''
         return RoutedRequest(
             request=request,
             route=route,
             service=pick_service(route, self._ports.generator),
-            customer=named,
+            customer=customer_name,
             priority=self._rank(route, customer),
             arrived_at=self._arrived_at,
-            ends_at=self._arrived_at + longest,
+            ends_at=self._arrived_at + timeout,
             domains=self._ports.region_map.find_domains(
                 find_regions(route, customer)
             ),
@@ -145,7 +147,7 @@
                 request.method,
                 request.host,
                 request.target,
-                named,
+                customer_name,
                 request.body,
             ),
         )
@@ -156,8 +158,8 @@
             return 0
         return rank_request(route, customer)
 
-    async def _watch_caller(self, scope: trio.CancelScope) -> None:
-        """Stop the work once the caller has left."""
+    async def _watch_disconnect(self, scope: trio.CancelScope) -> None:
+        """Cancel the request when the caller disconnects."""
         while True:
             event = await self._receive()
             if self._sink.finished:
@@ -167,19 +169,23 @@
                 scope.cancel()
                 return
 
-    async def _carry(self, routed: RoutedRequest) -> None:
+    async def _forward(self, routed: RoutedRequest) -> None:
         if routed.route.kind is RouteKind.STREAM:
-            await self._carry_stream(routed)
+            await self._forward_stream(routed)
             return
         forwarder = PlainForwarder(self._ports.relay, routed)
         match await forwarder.forward():
-            case Success(whole):
-                self._ports.metrics.note_answer(routed.route, whole.status)
-                await self._sink.answer(whole.status, whole.headers, whole.body)
+            case Success(response):
+                self._ports.metrics.record_response(
+                    routed.route, response.status
+                )
+                await self._sink.answer(
+                    response.status, response.headers, response.body
+                )
             case Failure(problem):
                 await self._refuse(problem)
 
-    async def _carry_stream(self, routed: RoutedRequest) -> None:
+    async def _forward_stream(self, routed: RoutedRequest) -> None:
         relay = self._ports.relay
         spec = self._ports.table().services_by_name.get(routed.service)
         engine = spec.engine if spec else None
@@ -193,15 +199,15 @@
             self._ports.mover.remove(generation)
         match outcome:
             case Success(end):
-                self._note_stream(end, generation, forwarder.longest_gap)
+                self._record_stream(end, generation, forwarder.longest_gap)
             case Failure(problem):
                 await self._refuse(problem)
 
-    def _note_stream(
+    def _record_stream(
         self, end: StreamEnd, generation: RunningGeneration, gap: Millis
     ) -> None:
         first = self._sink.started_after
-        self._ports.metrics.note_stream(end, generation.moves, first, gap)
+        self._ports.metrics.record_stream(end, generation.moves, first, gap)
         logger.info(
             'stream ended',
             request=self._request.request_id,
@@ -213,7 +219,7 @@
         )
 
     async def _refuse(self, problem: Problem) -> None:
-        self._ports.metrics.note_refusal(problem)
+        self._ports.metrics.record_refusal(problem)
         document = describe(problem)
         logger.info(
             'refused',
@@ -224,7 +230,7 @@
         wait = getattr(problem, 'retry_after', 0)
         await self._write(document.status, wait, encode_json(document))
 
-    async def _refuse_plainly(self, status: HTTPStatus) -> None:
+    async def _refuse_with_status(self, status: HTTPStatus) -> None:
         logger.info(
             'refused',
             request=self._request.request_id,
--- a/src/cartdale/gateway/metrics.py
+++ b/src/cartdale/gateway/metrics.py
@@ -1,4 +1,4 @@
-"""Counters and histograms of the gateway, by aioprometheus."""
+"""Counters and histograms of the gateway, in aioprometheus."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -18,26 +18,26 @@
 from cartdale.routes.types import Route
 
 _TEXT_TYPE = (b'content-type', b'text/plain; version=0.0.4')
-#: Upper bounds in seconds: around the targets of first events and of pauses.
+#: Bucket bounds in seconds, around the targets of first events and of pauses.
 _FIRST_BOUNDS = (0.1, 0.25, 0.5, 1, 1.5, 2, 3, 5, inf)
 _GAP_BOUNDS = (0.05, 0.1, 0.18, 0.25, 0.5, 1, 2, 5, inf)
 
 
 @dataclass(frozen=True, slots=True)
 class Constraints:
-    """Say what bounds the choice of upstreams now.
+    """The current constraints on the choice of upstreams.
 
-    :param evacuated: failure domains that get nothing new.
+    :param evacuated: failure domains that get no new requests.
     :param cold: upstreams that are cold.
     :param sent_cold: requests sent to cold upstreams since the start.
     :param quarantined: requests that are sent to no upstream.
-    :param leaving: upstreams that take no new work any more.
-    :param resting: upstreams that asked this instance for rest.
-    :param limited: upstreams that name a rate limit.
-    :param permitted: this instance's part of those limits, in requests a
+    :param leaving: upstreams that accept no new work.
+    :param resting: upstreams that requested a back-off from this instance.
+    :param limited: upstreams that announce a rate limit.
+    :param permitted: this instance's share of those limits, in requests per
         second.
-    :param withheld: requests held back by them as they were to be sent, since
-        the start.
+    :param withheld: requests that those limits stopped just before they were
+        sent, since the start.
     """
 
     evacuated: int
@@ -51,7 +51,7 @@
     withheld: int
 
 
-#: Of each field of the constraints: the gauge's name, and what it shows.
+#: For each field of ``Constraints``: the gauge's name and its help text.
 _GAUGES = (
     (
         'evacuated',
@@ -70,11 +70,11 @@
 
 
 class GatewayMetrics:
-    """Own the registry of one instance on the platform.
+    """The metrics of one instance on the platform.
 
-    :param read_version: returns the configuration in force.
-    :param calls_by_path: counts the calls to the store.
-    :param read_constraints: returns what bounds the choice of upstreams.
+    :param read_version: returns the version of the configuration in force.
+    :param calls_by_path: number of calls to the store by path.
+    :param read_constraints: returns the constraints on the choice of upstreams.
     """
 
     def __init__(
@@ -88,7 +88,7 @@
         self._calls_by_path = calls_by_path
         registry = MetricRegistry('cartdale_gateway')
         self._registry = registry
-        self._answers = registry.counter(
+        self._responses = registry.counter(
             'answers', 'Answers by kind and status.'
         )
         self._refusals = registry.counter('refusals', 'Own refusals by reason.')
@@ -105,26 +105,26 @@
             field: registry.gauge(name, text) for field, name, text in _GAUGES
         }
 
-    def note_answer(self, route: Route, status: int) -> None:
-        """Count an upstream's answer that was passed on."""
-        self._answers.inc({'kind': route.kind.value, 'status': str(status)})
+    def record_response(self, route: Route, status: int) -> None:
+        """Count an upstream's response that was forwarded."""
+        self._responses.inc({'kind': route.kind.value, 'status': str(status)})
 
-    def note_refusal(self, problem: Problem) -> None:
-        """Count an answer of our own."""
+    def record_refusal(self, problem: Problem) -> None:
+        """Count a refusal by this instance."""
         reason = type(problem).__name__
         if isinstance(problem, NotRun):
             reason = problem.reason.name
         self._refusals.inc({'reason': reason})
 
-    def note_stream(
+    def record_stream(
         self, end: str, moves: int, first: Millis, gap: Millis
     ) -> None:
         """Count a stream that ended.
 
         :param end: how it ended.
-        :param moves: times that it went on at another engine.
-        :param first: wait for its head.
-        :param gap: its longest pause.
+        :param moves: number of times that it resumed at another engine.
+        :param first: time to its head.
+        :param gap: its longest pause between events.
         """
         self._streams.inc({'end': end})
         self._moves.add({}, moves)
@@ -132,7 +132,7 @@
         self._gap.add({}, gap / SECOND_MS)
 
     def render(self) -> bytes:
-        """Return all metrics in Prometheus' text form."""
+        """Return all metrics in the Prometheus text format."""
         self._version.set({}, self._read_version())
         constraints = self._read_constraints()
         for field, gauge in self._gauges_by_field.items():
@@ -141,7 +141,7 @@
 
 
 class MetricsApp:
-    """Serve the metrics as an ASGI application on every path."""
+    """ASGI application that serves the metrics on every path."""
 
     def __init__(self, metrics: GatewayMetrics) -> None:
         self._metrics = metrics
@@ -149,7 +149,7 @@
     async def __call__(
         self, scope: AsgiEvent, receive: Receive, send: Send
     ) -> None:
-        """Answer one ASGI connection."""
+        """Handle one ASGI connection."""
         if not await accept_http_request(scope, receive, send):
             return
         await send_response(
--- a/src/cartdale/gateway/ports.py
+++ b/src/cartdale/gateway/ports.py
@@ -1,4 +1,4 @@
-"""What the gateway works with."""
+"""The dependencies of the gateway."""
 
 import random
 from collections.abc import Callable
@@ -15,7 +15,7 @@
 
 
 class Wire(Protocol):
-    """Translate between the wire's headers and the product's types."""
+    """Translation between headers on the wire and the gateway's types."""
 
     def read_request(
         self, method: str, target: bytes, headers: Headers
@@ -23,16 +23,16 @@
         """Read the head of a request."""
 
     def write_refusal(self, status: int, retry_after: Millis) -> Headers:
-        """Return the headers of an answer of our own."""
+        """Return the headers of a refusal by this instance."""
 
 
 @dataclass(frozen=True, slots=True)
 class GatewayPorts:
-    """Hold what the gateway works with.
+    """The dependencies of the gateway.
 
-    :param table: reads the routing table in force.
-    :param leaving: tells whether connections should be closed.
-    :param region_map: knows in which region a failure domain lies.
+    :param table: returns the routing table in force.
+    :param leaving: returns whether connections should be closed.
+    :param region_map: maps failure domains to regions.
     """
 
     relay: RelayPorts
--- a/src/cartdale/gateway/ready.py
+++ b/src/cartdale/gateway/ready.py
@@ -1,4 +1,4 @@
-"""Answer the balancer's question whether to send connections here."""
+"""Readiness endpoint for the load balancer."""
 
 from collections.abc import Callable
 from http import HTTPStatus
@@ -13,10 +13,10 @@
 
 
 class ReadyApp:
-    """Answer 200 on one path while the instance takes new connections.
+    """ASGI application that responds 200 while new connections are accepted.
 
-    :param path: where the balancer asks.
-    :param ready: tells whether it does.
+    :param path: path that the load balancer polls; others get 404.
+    :param ready: returns whether the instance accepts new connections.
     """
 
     def __init__(self, path: str, ready: Callable[[], bool]) -> None:
@@ -26,7 +26,7 @@
     async def __call__(
         self, scope: AsgiEvent, receive: Receive, send: Send
     ) -> None:
-        """Answer one ASGI connection."""
+        """Handle one ASGI connection."""
         if not await accept_http_request(scope, receive, send):
             return
         status = HTTPStatus.NOT_FOUND
--- a/src/cartdale/gateway/sink.py
+++ b/src/cartdale/gateway/sink.py
@@ -1,4 +1,4 @@
-"""Write an answer to a caller as the events of ASGI."""
+"""Write a response to a caller as ASGI events."""
 
 from collections.abc import Callable
 
@@ -8,9 +8,9 @@
 
 
 class AsgiSink:
-    """Write an answer as ASGI events.
+    """Writer of one response as ASGI events.
 
-    :param leaving: tells whether the connection is to be closed after it.
+    :param leaving: returns whether to close the connection after the response.
     """
 
     def __init__(
@@ -19,11 +19,11 @@
         self._send = send
         self._leaving = leaving
         self._clock = clock
-        self._made_at = clock.now()
-        #: Whether the answer is written; the server then closes the exchange
-        #: as if the caller had left.
+        self._created_at = clock.now()
+        #: Whether the response is complete; the server then signals a
+        #: disconnect, as if the caller had left.
         self.finished = False
-        #: From the request's arrival to the head, in milliseconds.
+        #: Time from the request's arrival to the head, in milliseconds.
         self.started_after: Millis = 0
 
     async def start(
@@ -31,23 +31,23 @@
     ) -> None:
         """Write the head.
 
-        :param length: size of the body in bytes, if it is known.
+        :param length: size of the body in bytes, if known.
         """
-        self.started_after = self._clock.now() - self._made_at
-        written = list(headers)
+        self.started_after = self._clock.now() - self._created_at
+        response_headers = list(headers)
         if length is not None:
-            written.append((b'content-length', str(length).encode()))
+            response_headers.append((b'content-length', str(length).encode()))
         if self._leaving():
-            written.append((b'connection', b'close'))
+            response_headers.append((b'connection', b'close'))
         event = {
             TYPE: 'http.response.start',
             'status': status,
-            'headers': written,
+            'headers': response_headers,
         }
         await self._send(event)
 
     async def answer(self, status: int, headers: Headers, body: bytes) -> None:
-        """Write an answer that is known as a whole."""
+        """Write a complete response."""
         await self.start(status, headers, len(body))
         await self.write(body)
         await self.finish()
@@ -62,6 +62,6 @@
         await self._send(event)
 
     async def finish(self) -> None:
-        """Mark the body as whole."""
+        """Mark the body as complete."""
         self.finished = True
         await self._send({TYPE: 'http.response.body', 'body': b''})
