--- a/src/cartdale/routes/__init__.py
+++ b/src/cartdale/routes/__init__.py
@@ -1,1 +1,1 @@
-"""Routes: which service a request goes to, and for whom."""
+"""Routes: match requests to services and customers."""
--- a/src/cartdale/routes/match.py
+++ b/src/cartdale/routes/match.py
@@ -4,21 +4,21 @@
 
 from cartdale.routes.types import Customer, Route, RoutingTable
 
-_PORT_MARK = ':'
+_PORT_SEPARATOR = ':'
 
 
 def find_route(table: RoutingTable, host: str, path: str) -> Route | None:
     """Return the route of the host with the longest prefix of the path."""
-    bare_host = host.partition(_PORT_MARK)[0].lower()
-    for route in table.routes_by_host.get(bare_host, ()):
+    host_name = host.partition(_PORT_SEPARATOR)[0].lower()
+    for route in table.routes_by_host.get(host_name, ()):
         if path.startswith(route.prefix):
             return route
     return None
 
 
 def list_changed_routes(before: RoutingTable, after: RoutingTable) -> list[str]:
-    """Return the names of routes that came, went or are not as they were."""
-    old, new = _name_routes(before), _name_routes(after)
+    """Return the names of routes that were added, removed or changed."""
+    old, new = _index_by_name(before), _index_by_name(after)
     return sorted(
         name
         for name in old.keys() | new.keys()
@@ -27,7 +27,7 @@
 
 
 def needs_key(table: RoutingTable, route: Route) -> bool:
-    """Tell whether a request on the route has to carry a known key."""
+    """Return whether requests on the route must carry a known key."""
     return bool(table.customers_by_key) and not route.anonymous
 
 
@@ -41,9 +41,9 @@
 def find_regions(
     route: Route, customer: Customer | None
 ) -> frozenset[str] | None:
-    """Return where a request may go; ``None`` for everywhere.
+    """Return the regions that a request may be sent to; ``None`` for all.
 
-    Where the route and the customer each name regions, both bind.
+    If both the route and the customer name regions, only those in both count.
     """
     bounds = [route.regions]
     if customer is not None:
@@ -53,7 +53,7 @@
 
 
 def pick_service(route: Route, generator: random.Random) -> str:
-    """Return a service of the route, by the weights of its shares."""
+    """Return a service of the route, chosen by the weights of its shares."""
     if len(route.shares) == 1:
         return route.shares[0].service
     services = [share.service for share in route.shares]
@@ -61,7 +61,7 @@
     return generator.choices(services, weights)[0]
 
 
-def _name_routes(table: RoutingTable) -> dict[str, Route]:
+def _index_by_name(table: RoutingTable) -> dict[str, Route]:
     return {
         route.name: route
         for routes in table.routes_by_host.values()
--- a/src/cartdale/routes/regions.py
+++ b/src/cartdale/routes/regions.py
@@ -1,4 +1,4 @@
-"""Know in which region a failure domain lies."""
+"""The region of each failure domain."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -6,16 +6,16 @@
 
 @dataclass(frozen=True, slots=True)
 class RegionMap:
-    """Hold the region of each failure domain that the settings name."""
+    """Map of failure domains to regions, as the settings name them."""
 
     regions_by_domain: Mapping[str, str] = field(default_factory=dict)
 
     def find_domains(
         self, regions: frozenset[str] | None
     ) -> frozenset[str] | None:
-        """Return the failure domains of some regions; ``None`` for all.
+        """Return the failure domains in the given regions; ``None`` for all.
 
-        A failure domain that the settings don't name lies in none of them.
+        A failure domain that the settings don't name is in no region.
         """
         if regions is None:
             return None
--- a/src/cartdale/routes/types.py
+++ b/src/cartdale/routes/types.py
@@ -1,4 +1,4 @@
-"""Types of the routing table that is in force."""
+"""Types of the routing table in force."""
 
 from dataclasses import dataclass, field
 from enum import StrEnum
@@ -7,21 +7,22 @@
 
 
 class RouteKind(StrEnum):
-    """Say what may be repeated, and how the answer arrives."""
+    """Whether requests may be retried, and how the response arrives."""
 
-    #: May run more than once.
+    #: May be executed more than once.
     SAFE = 'safe'
-    #: Runs at most once for each request.
+    #: Is executed at most once per request.
     UNSAFE = 'unsafe'
-    #: Answers in events; runs at most once unless its route is resumable.
+    #: Responds with an event stream; executed at most once unless its route is
+    #: resumable.
     STREAM = 'stream'
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceShare:
-    """Give a service a part of a route's requests.
+    """A service's share of a route's requests.
 
-    :param weight: relative to the other shares of the route.
+    :param weight: weight relative to the other shares of the route.
     """
 
     service: str
@@ -30,21 +31,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Direct the requests of a host below a path prefix.
-
-    :param prefix: starts and ends with a slash.
-    :param timeout: longest time that a request may be held.
-    :param target_latency: an answer that starts later earns little.
-    :param target_gap: longest pause between events; 0 for none.
-    :param caller_read_timeout: a caller gives a stream up that shows nothing
-        for so long; 0 for no bound but its time limit.
+    """Routing rule for the requests to a host below a path prefix.
+
+    :param prefix: path prefix that starts and ends with a slash.
+    :param timeout: maximum time that a request may be held.
+    :param target_latency: target time to the start of a response; a later one
+        has little value.
+    :param target_gap: maximum pause between events; 0 for none.
+    :param caller_read_timeout: time without data after which callers give up
+        a stream; 0 for no bound but the route's timeout.
     :param priority: 0 is the most urgent.
-    :param max_attempts: upstreams that one request may run on.
+    :param max_attempts: maximum number of upstreams that a request may run on.
     :param anonymous: whether requests need no key.
-    :param resumable: whether any engine may go on with a stream of it after
-        the last event that the caller has.
-    :param regions: where its requests and their bodies may go; empty for
-        everywhere.
+    :param resumable: whether any engine may resume a stream of this route
+        after the last event that the caller received.
+    :param regions: regions that its requests and their bodies may be sent to;
+        empty for all.
     """
 
     name: str
@@ -64,21 +66,21 @@
 
     @property
     def repeatable(self) -> bool:
-        """Tell whether a request may run again at another upstream."""
+        """Return whether a request may be executed again elsewhere."""
         resumable = self.kind is RouteKind.STREAM and self.resumable
         return resumable or self.kind is RouteKind.SAFE
 
 
 @dataclass(frozen=True, slots=True)
 class EngineSpec:
-    """Describe the engines of a service.
+    """Properties of the engines of a service.
 
-    :param memory_tokens: tokens that one engine holds, running and cached.
-    :param token_bytes: memory of a token, in bytes, when it is copied.
+    :param memory_tokens: memory of one engine in tokens, running and cached.
+    :param token_bytes: size of one token's memory when copied, in bytes.
     :param link_mbps: bandwidth of an engine's link in megabits per second.
-    :param event_tokens: tokens that one event of a stream holds.
+    :param event_tokens: tokens per event of a stream.
     :param moves: whether a running generation can be moved.
-    :param backups: whether an engine can keep another up to date.
+    :param backups: whether an engine can keep a backup at another up to date.
     """
 
     slots: int
@@ -92,12 +94,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceSpec:
-    """Describe one service.
+    """Properties of one service.
 
-    :param max_connections: that one upstream takes from all instances.
-    :param cold_start: how long an upstream is cold after its start.
-    :param cold_rate: requests a second that a cold upstream bears from all
-        instances together; 0 for no bound.
+    :param max_connections: maximum number of connections that one upstream
+        accepts from all instances together.
+    :param cold_start: time that an upstream is cold after its start.
+    :param cold_rate: requests per second that a cold upstream sustains from
+        all instances together; 0 for no bound.
     """
 
     name: str
@@ -110,10 +113,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Customer:
-    """Name who holds a key.
+    """The customer that owns a key.
 
-    :param priority: goes before the route's; ``None`` leaves it.
-    :param regions: where its requests may go; empty for everywhere.
+    :param priority: overrides the route's priority; ``None`` keeps it.
+    :param regions: regions that its requests may be sent to; empty for all.
     """
 
     name: str
@@ -123,9 +126,9 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestLimits:
-    """Bound what a caller may send and how long it may rest.
+    """Limits on callers' requests and connections.
 
-    :param idle_timeout: a kept connection may rest for so long.
+    :param idle_timeout: maximum idle time of a kept-alive connection.
     """
 
     header_bytes: int = 16384
@@ -136,9 +139,9 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutingTable:
-    """Hold one version of the configuration, ready for look-ups.
+    """One version of the configuration, indexed for look-ups.
 
-    :param routes_by_host: the longest prefixes first.
+    :param routes_by_host: the routes of each host, longest prefix first.
     """
 
     version: int = 0
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -1,4 +1,4 @@
-"""Places: requests and their bodies stay in the regions that are allowed."""
+"""Regions: requests and their bodies stay in the regions that are allowed."""
 
 import json
 
@@ -60,8 +60,8 @@
     ],
 )
 def test_route_and_customer_both_bind(route, customer, allowed) -> None:
-    who = Customer('c', regions=frozenset(customer))
-    assert find_regions(make_route(*route), who) == allowed
+    owner = Customer('c', regions=frozenset(customer))
+    assert find_regions(make_route(*route), owner) == allowed
 
 
 def test_anonymous_request_is_bound_by_its_route() -> None:
@@ -82,7 +82,7 @@
     return decide(FleetState(), EntriesListed(entries), 0)[0]
 
 
-def test_only_upstreams_there_are_candidates() -> None:
+def test_only_upstreams_in_allowed_domains_are_candidates() -> None:
     state = make_state()
     needs = RequestNeeds('s', domains=NORTH)
     names = [each.entry.upstream for each in list_candidates(state, needs)]
@@ -90,14 +90,14 @@
     assert len(list_candidates(state, RequestNeeds('s'))) == 4
 
 
-def test_evacuated_home_is_not_left() -> None:
-    told = (Evacuation('a1', 4), Evacuation('a2', 5))
-    state, _ = decide(make_state(), EvacuationsReceived(told), 0)
+def test_evacuation_of_all_allowed_domains_closes_them() -> None:
+    evacuations = (Evacuation('a1', 4), Evacuation('a2', 5))
+    state, _ = decide(make_state(), EvacuationsReceived(evacuations), 0)
     assert is_closed(state, RequestNeeds('s', domains=NORTH))
     assert not is_closed(state, RequestNeeds('s'))
 
 
-def test_moves_and_backups_stay_there() -> None:
+def test_moves_and_backups_stay_in_allowed_domains() -> None:
     fleet = Fleet(VirtualClock(), 'b1', 1)
     fleet.table = RoutingTable(version=1, services_by_name={'s': SPEC})
     fleet.state = make_state()
@@ -118,14 +118,14 @@
     assert settings.bounds.cold.count(10) == 10
 
 
-def test_settings_bound_what_a_cold_upstream_gets() -> None:
+def test_settings_bound_the_requests_to_a_cold_upstream() -> None:
     text = f'{SETTINGS}bounds.coldOverage=1.5\nbounds.coldSlack=5\n'
     assert parse_platform_settings(text, 'file').bounds.cold.count(25) == 42
     with pytest.raises(BadInputError, match='coldSlack'):
         parse_platform_settings(f'{SETTINGS}bounds.coldSlack=many\n', 'file')
 
 
-def test_configuration_names_regions_and_what_cold_upstreams_bear() -> None:
+def test_configuration_sets_regions_and_rates_of_cold_upstreams() -> None:
     stored = make_configuration()
     stored['routes'][0]['allowedRegions'] = ['here']
     stored['tenants'][0]['allowedRegions'] = ['here', 'there']
@@ -143,7 +143,7 @@
     assert (spec.cold_start, spec.cold_rate) == (1500, 25.0)
 
 
-async def test_request_is_refused_rather_than_sent_abroad() -> None:
+async def test_request_is_refused_rather_than_sent_to_another_region() -> None:
     async with open_platform(plains=1) as stage:
         stored = make_configuration(2)
         stored['routes'][2]['allowedRegions'] = ['elsewhere']
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -1,4 +1,4 @@
-"""Routes: the longest prefix of a host, keys and ranks."""
+"""Routes: the longest prefix of a host, keys, priorities and shares."""
 
 from random import Random
 
@@ -47,7 +47,7 @@
     assert not needs_key(RoutingTable(1), make_route('/a/'))
 
 
-def test_customer_priority_goes_before_the_route() -> None:
+def test_customer_priority_overrides_that_of_the_route() -> None:
     route = make_route('/a/', priority=2)
     assert rank_request(route, None) == 2
     assert rank_request(route, Customer('c')) == 2
