--- a/src/cartdale/platform/callers.py
+++ b/src/cartdale/platform/callers.py
@@ -1,4 +1,4 @@
-"""Translate callers' requests from the platform's headers."""
+"""Parse callers' requests, and build the headers of refusals."""
 
 from collections.abc import Iterable
 from http import HTTPStatus
@@ -21,7 +21,7 @@
 from cartdale.relay.types import CallerRequest, Headers
 
 _KEY_SCHEME = 'token '
-#: Headers of one connection only; they are not forwarded.
+#: Hop-by-hop headers; they are not forwarded.
 CONNECTION_HEADERS = frozenset(
     (
         b'connection',
@@ -37,7 +37,7 @@
         b'expect',
     ),
 )
-#: Headers that only cartdale may set towards an upstream.
+#: Headers that only cartdale may send to an upstream.
 _OWN_HEADERS = frozenset(
     name.encode()
     for name in (
@@ -62,38 +62,40 @@
 def read_request(
     method: str, target: bytes, headers: Iterable[tuple[bytes, bytes]]
 ) -> CallerRequest:
-    """Read the head of a request; the body is added later.
+    """Parse the head of a request; the body is added later.
 
-    :param headers: names in lower case.
+    :param headers: header fields with names in lower case.
     """
-    named: dict[str, str] = {}
+    values_by_name: dict[str, str] = {}
     forwarded: list[tuple[bytes, bytes]] = []
     listed = list(headers)
     dropped = _DROPPED_HEADERS | _name_connection_options(listed)
     for name, value in listed:
-        named.setdefault(name.decode('latin-1'), value.decode('latin-1'))
+        values_by_name.setdefault(
+            name.decode('latin-1'), value.decode('latin-1')
+        )
         if name not in dropped:
             forwarded.append((name, value))
-    prompt, most = _read_tokens(named.get(HEADER_TOKENS, ''))
+    prompt, max_tokens = _read_tokens(values_by_name.get(HEADER_TOKENS, ''))
     return CallerRequest(
-        request_id=named.get(HEADER_REQUEST_ID, ''),
+        request_id=values_by_name.get(HEADER_REQUEST_ID, ''),
         method=method,
-        host=named.get('host', ''),
+        host=values_by_name.get('host', ''),
         target=target,
-        key=_read_key(named.get(HEADER_AUTHORIZATION, '')),
-        deadline=_read_number(named.get(HEADER_DEADLINE, '')),
+        key=_read_key(values_by_name.get(HEADER_AUTHORIZATION, '')),
+        deadline=_read_number(values_by_name.get(HEADER_DEADLINE, '')),
         headers=tuple(forwarded),
         prompt_tokens=prompt,
-        max_tokens=most,
-        expected_tokens=_read_number(named.get(HEADER_HINT, '')),
-        last_event=named.get(HEADER_LAST_EVENT, '').encode('latin-1'),
+        max_tokens=max_tokens,
+        expected_tokens=_read_number(values_by_name.get(HEADER_HINT, '')),
+        last_event=values_by_name.get(HEADER_LAST_EVENT, '').encode('latin-1'),
     )
 
 
 def write_refusal(status: int, retry_after: Millis) -> Headers:
-    """Return the headers of an answer of our own.
+    """Return the headers of a refusal by this instance.
 
-    :param retry_after: when to come back; 0 to say nothing.
+    :param retry_after: delay before a retry; 0 omits the header.
     """
     headers = [(b'content-type', b'application/problem+json')]
     promised = status in {
@@ -109,7 +111,7 @@
 def _name_connection_options(
     headers: list[tuple[bytes, bytes]],
 ) -> frozenset[bytes]:
-    """Return the headers that ``Connection`` says are for this hop only."""
+    """Return the headers that ``Connection`` declares hop-by-hop."""
     options: set[bytes] = set()
     for name, value in headers:
         if name == b'connection':
@@ -133,5 +135,5 @@
 
 
 def _read_tokens(raw: str) -> tuple[int, int]:
-    prompt, _, most = raw.partition(',')
-    return _read_number(prompt), _read_number(most)
+    prompt, _, max_tokens = raw.partition(',')
+    return _read_number(prompt), _read_number(max_tokens)
--- a/src/cartdale/platform/documents.py
+++ b/src/cartdale/platform/documents.py
@@ -1,4 +1,4 @@
-"""Decode what the operator and the upstreams write into the store."""
+"""Decode the values that the operator and upstreams write to the store."""
 
 from collections.abc import Mapping
 from types import MappingProxyType
@@ -9,7 +9,7 @@
 from cartdale.clock import SECOND_MS, Millis
 from cartdale.exceptions import CartdaleError
 from cartdale.fleet.types import Lifecycle, UpstreamEntry
-from cartdale.platform.names import WORD_DRAINING, WORD_READY
+from cartdale.platform.names import STATE_DRAINING, STATE_READY
 from cartdale.routes.types import (
     Customer,
     EngineSpec,
@@ -25,13 +25,14 @@
 UPSTREAM_PREFIX = 'servers/'
 EVACUATION_PREFIX = 'op/evacuate/'
 
-#: Callers give a stream up, before its first event too, after the longest of
-#: these: two seconds, and some times its target latency or its longest pause.
-_SHORTEST_PATIENCE: Millis = 2 * SECOND_MS
-_PATIENCE_IN_TARGETS = 4
-_PATIENCE_IN_GAPS = 8
+#: Callers give up a stream, also before its first event, after the longest of
+#: two seconds, a multiple of its target latency and a multiple of its target
+#: gap.
+_MIN_CALLER_TIMEOUT: Millis = 2 * SECOND_MS
+_TIMEOUT_PER_TARGET_LATENCY = 4
+_TIMEOUT_PER_TARGET_GAP = 8
 
-_KINDS_BY_WORD: Mapping[str, RouteKind] = MappingProxyType(
+_KINDS_BY_NAME: Mapping[str, RouteKind] = MappingProxyType(
     {
         'safe': RouteKind.SAFE,
         'unsafe': RouteKind.UNSAFE,
@@ -40,18 +41,18 @@
 )
 
 
-_LIFECYCLES_BY_WORD: Mapping[str, Lifecycle] = MappingProxyType(
-    {WORD_READY: Lifecycle.LIVE, WORD_DRAINING: Lifecycle.LEAVING},
+_LIFECYCLES_BY_STATE: Mapping[str, Lifecycle] = MappingProxyType(
+    {STATE_READY: Lifecycle.LIVE, STATE_DRAINING: Lifecycle.LEAVING},
 )
 #: ``IP:PORT`` of an upstream.
 _ADDRESS: Final = r'^\S+:[1-9][0-9]{0,4}$'
 
 
 class BadDocumentError(CartdaleError):
-    """Report a stored value that can't be used.
+    """Raised for a stored value that is malformed.
 
-    :param key: where the value lies in the store.
-    :param detail: what is wrong, with the path of the field.
+    :param key: the value's key in the store.
+    :param detail: description of the fault, with the path of the field.
     """
 
     exit_code = 2
@@ -62,7 +63,7 @@
         self.detail = detail
 
     def format_message(self) -> str:
-        """Return the key and what is wrong with its value."""
+        """Return the key and the fault in its value."""
         return f'{self.key}: {self.detail}'
 
 
@@ -78,14 +79,14 @@
     kind: str
     timeout_ms: Millis
     target_latency_ms: Millis = 0
-    #: Longest pause between events that is still in time.
+    #: Maximum pause between events that meets the target.
     target_gap_ms: Millis = 0
     priority: int = 0
     service: str = ''
     traffic_split: tuple[_Split, ...] = ()
     max_attempts: int = 1
     allow_anonymous: bool = False
-    #: Whether a stream may be taken up again at any engine.
+    #: Whether any engine may resume a stream.
     resumable: bool = False
     allowed_regions: frozenset[str] = frozenset()
 
@@ -96,7 +97,7 @@
     kv_capacity: int
     kv_bytes: float
     link_mbps: float
-    #: Tokens that one event of a stream holds.
+    #: Tokens per event of a stream.
     stride: int = 1
     moves: bool = False
     backups: bool = False
@@ -108,7 +109,7 @@
     max_connections: int = 0
     engine: _Engine | None = None
     cold_start_s: float = 0
-    #: Requests a second that an upstream bears while it is cold.
+    #: Requests per second that an upstream sustains while it is cold.
     cold_per_s: float = 0
 
 
@@ -138,15 +139,15 @@
     service: Annotated[str, msgspec.Meta(min_length=1)]
     address: Annotated[str, msgspec.Meta(pattern=_ADDRESS)]
     zone: str
-    #: Of its software.
+    #: Version of its software.
     version: str | int
     slots: Annotated[int, msgspec.Meta(ge=1)]
     state: str
-    #: How much longer the upstream is slow after its start.
+    #: Remaining time that the upstream is slow after its start.
     cold_remaining_ms: Annotated[float, msgspec.Meta(ge=0)]
-    #: Counts what it wrote since its start.
+    #: Number of its writes since its start.
     sequence: int
-    #: Unix milliseconds of its start; older platforms don't tell it.
+    #: Unix milliseconds of its start; older platforms omit it.
     born: Annotated[int, msgspec.Meta(ge=0)] = 0
 
 
@@ -156,7 +157,7 @@
     :raises BadDocumentError: when it is malformed.
     """
     stored = _decode(CONFIGURATION_KEY, raw, _Configuration)
-    _check(stored)
+    _validate(stored)
     routes_by_host: dict[str, list[Route]] = {}
     for stored_route in stored.routes:
         route = _to_route(stored_route)
@@ -186,15 +187,15 @@
 
 
 def decode_upstream(key: str, raw: bytes) -> UpstreamEntry:
-    """Decode what an upstream says of itself.
+    """Decode an upstream's entry.
 
-    Others may write there too: what lacks a field, or has a state that the
-    platform does not name, describes no upstream.
+    Other writers may use these keys too: a value that lacks a field, or has a
+    state that the platform does not define, is not an upstream's entry.
 
     :raises BadDocumentError: when it is malformed.
     """
     stored = _decode(key, raw, _Upstream)
-    lifecycle = _LIFECYCLES_BY_WORD.get(stored.state)
+    lifecycle = _LIFECYCLES_BY_STATE.get(stored.state)
     if lifecycle is None:
         raise BadDocumentError(key, 'unknown state - at `$.state`')
     return UpstreamEntry(
@@ -209,8 +210,8 @@
     )
 
 
-def _check(stored: _Configuration) -> None:
-    """Refuse figures that nothing can be worked out from."""
+def _validate(stored: _Configuration) -> None:
+    """Reject weights, memory sizes and bandwidths that are not positive."""
     for number, route in enumerate(stored.routes):
         weights = [split.weight for split in route.traffic_split]
         if weights and (min(weights) < 0 or sum(weights) <= 0):
@@ -236,7 +237,7 @@
 
 
 def _to_route(stored: _Route) -> Route:
-    kind = _KINDS_BY_WORD.get(stored.kind, RouteKind.UNSAFE)
+    kind = _KINDS_BY_NAME.get(stored.kind, RouteKind.UNSAFE)
     shares = tuple(
         ServiceShare(split.service, split.weight)
         for split in stored.traffic_split
@@ -250,7 +251,7 @@
         target_latency=stored.target_latency_ms,
         shares=shares or (ServiceShare(stored.service),),
         target_gap=stored.target_gap_ms,
-        caller_read_timeout=_find_patience(stored)
+        caller_read_timeout=_find_caller_timeout(stored)
         if kind is RouteKind.STREAM
         else 0,
         priority=stored.priority,
@@ -284,12 +285,12 @@
     )
 
 
-def _find_patience(stored: _Route) -> Millis:
-    """Return after how long without an event callers give a stream up."""
+def _find_caller_timeout(stored: _Route) -> Millis:
+    """Return the time without an event after which callers give up a stream."""
     return max(
-        _SHORTEST_PATIENCE,
-        _PATIENCE_IN_TARGETS * stored.target_latency_ms,
-        _PATIENCE_IN_GAPS * stored.target_gap_ms,
+        _MIN_CALLER_TIMEOUT,
+        _TIMEOUT_PER_TARGET_LATENCY * stored.target_latency_ms,
+        _TIMEOUT_PER_TARGET_GAP * stored.target_gap_ms,
     )
 
 
--- a/src/cartdale/platform/eras.py
+++ b/src/cartdale/platform/eras.py
@@ -1,23 +1,24 @@
-"""Keep the store's revisions rising over its returns from older copies.
+"""Keep the store's revisions monotonic when it is restored from a copy.
 
-The store may come back from a copy that is some seconds old: its revisions go
-back and are given out again. Each time its answers name a new era. Inside
-cartdale a revision is that of the store behind its era, so that whatever
-compares revisions (watches, evacuations, conditions) stays right: what was
-written in a later era is newer, whatever its number there.
+The store may be restored from a copy that is some seconds old: its revisions go
+back, and are assigned again. After each restore its responses carry a new era.
+Inside cartdale a revision is the store's revision prefixed by the era, so that
+comparisons of revisions (watches, evacuations, conditions) stay correct: a
+write in a later era is newer, whatever its revision there.
 """
 
 import httpcore
 
 from cartdale.platform.names import HEADER_ERA
 
-#: More than a store ever counts: at 400 writes a second, in a thousand years.
+#: More than a store ever uses: enough for 400 writes per second over a thousand
+#: years.
 _REVISION_BITS = 44
-_SPAN = 1 << _REVISION_BITS
+_REVISIONS_PER_ERA = 1 << _REVISION_BITS
 
 
 def read_era(response: httpcore.Response) -> int:
-    """Return the era that an answer names; 0 where the store counts none."""
+    """Return the era of a response; 0 if the store sends none."""
     for name, text in response.headers:
         if name.lower() == HEADER_ERA.encode() and text.isdigit():
             return int(text)
@@ -25,15 +26,15 @@
 
 
 def encode_revision(revision: int, era: int) -> int:
-    """Return a revision of the store as one that only rises."""
-    return era * _SPAN + revision
+    """Return a monotonic revision from the store's revision and its era."""
+    return era * _REVISIONS_PER_ERA + revision
 
 
-def decode_revision(placed: int) -> int:
-    """Return the number that the store knows a revision by."""
-    return placed % _SPAN
+def decode_revision(encoded: int) -> int:
+    """Return the store's own number of a revision."""
+    return encoded % _REVISIONS_PER_ERA
 
 
-def decode_era(placed: int) -> int:
-    """Return the era that a revision belongs to."""
-    return placed // _SPAN
+def decode_era(encoded: int) -> int:
+    """Return the era of a revision."""
+    return encoded // _REVISIONS_PER_ERA
--- a/src/cartdale/platform/exchanges.py
+++ b/src/cartdale/platform/exchanges.py
@@ -1,4 +1,4 @@
-"""Translate what is sent to upstreams, and what they answer."""
+"""Build the requests to upstreams, and parse their responses."""
 
 from collections.abc import AsyncIterator
 from http import HTTPStatus
@@ -25,7 +25,7 @@
     HEADER_RETRY_AFTER,
     HEADER_SEAL,
     HEADER_TENANT,
-    WORD_DRAINING,
+    STATE_DRAINING,
 )
 from cartdale.relay.types import (
     Copied,
@@ -42,30 +42,30 @@
 from cartdale.retries.backoffs import parse_retry_after
 from cartdale.transport import HTTPCORE_UNKNOWN_OUTCOME_ERRORS
 
-_HIDDEN_HEADERS = CONNECTION_HEADERS | {
+_DROPPED_HEADERS = CONNECTION_HEADERS | {
     HEADER_LOAD.encode(),
     HEADER_NOT_RUN.encode(),
-    # A caller that is a proxy itself would take these for this instance's.
+    # A caller that is a proxy would attribute these to this instance.
     HEADER_LEAVING.encode(),
     HEADER_LIMIT.encode(),
 }
-#: Headers of which one says where a body ends.
-_FRAMES = frozenset((b'content-length', b'transfer-encoding'))
+#: Headers that delimit a body.
+_FRAMING_HEADERS = frozenset((b'content-length', b'transfer-encoding'))
 
 
 class CopyRequest(msgspec.Struct, rename='camel', omit_defaults=True):
-    """Ask an engine for a copy, in the words of the wire."""
+    """Body of a copy request to an engine."""
 
     id: str
-    #: IP:PORT of the engine that gets the copy, despite the name.
+    #: IP:PORT of the engine that receives the copy, despite the name.
     target_version: str
-    #: Whether the generation stops first.
+    #: Whether the generation is stopped first.
     last: bool = False
 
 
 class _CopyAnswer(msgspec.Struct):
     handle: str = ''
-    #: Events made so far, despite the name.
+    #: Events generated so far, despite the name.
     created: int = 0
 
 
@@ -73,11 +73,11 @@
     running: int = 0
     queued: int = 0
     state: str = ''
-    #: Tokens that can't give way.
+    #: Tokens that can't be evicted.
     kv_used: int = 0
     kv_total: int = 0
     leaves_ms: float | None = msgspec.field(default=None, name='leaves_ms')
-    #: Rows of id, tokens in memory, events made and priority.
+    #: Rows of id, tokens in memory, events generated and priority.
     runs: tuple[tuple[str, int, int, int], ...] = ()
     born: int = 0
 
@@ -85,11 +85,11 @@
 def write_headers(call: UpstreamCall) -> list[tuple[bytes, bytes]]:
     """Return the caller's headers and those that cartdale adds.
 
-    None says how urgent a request is: an engine pushes less urgent ones aside
-    in the middle, and reads them anew. With one urgency for all, the urgent
-    still go first in cartdale's own queue; on engines of 21,878 tokens that
-    were nearly full 19 instead of 81 requests were pushed aside in 34 s, and
-    31,000 instead of 181,000 tokens were read for nothing.
+    No header states a request's urgency: an engine preempts running requests
+    that are less urgent, and recomputes their tokens. With equal urgency for
+    all, urgent requests still go first in cartdale's own queue. On engines of
+    21,878 tokens that are nearly full, this preempts 19 instead of 81 requests
+    in 34 s, and recomputes 31,000 instead of 181,000 tokens.
     """
     routed = call.routed
     request = routed.request
@@ -116,48 +116,52 @@
 def read_head(
     call: UpstreamCall, response: httpcore.Response, advisory: Advisory
 ) -> Result[OpenedResponse, SendFailure]:
-    """Read the head of an answer.
+    """Parse the head of a response.
 
-    One to another request, or a success without its seal, is no answer.
+    A response to another request, or a success without the seal header, counts
+    as a broken link.
 
-    :param advisory: what the upstream says of itself beside it.
+    :param advisory: the advisory in the response's headers.
     """
-    named = {name.lower(): value for name, value in response.headers}
-    execution = _judge(response.status, named)
-    answered = named.get(HEADER_REQUEST_ID.encode(), b'').decode('latin-1')
+    values_by_name = {name.lower(): value for name, value in response.headers}
+    execution = _read_execution_status(response.status, values_by_name)
+    answered = values_by_name.get(HEADER_REQUEST_ID.encode(), b'').decode(
+        'latin-1'
+    )
     request_id = call.routed.request.request_id
     if execution is ExecutionStatus.RAN:
         if answered != request_id:
             return Failure(LinkBroke(f'answer to {answered!r}'))
-        sealed = HEADER_SEAL.encode() in named
-        if response.status < HTTPStatus.MULTIPLE_CHOICES and not sealed:
+        has_seal = HEADER_SEAL.encode() in values_by_name
+        if response.status < HTTPStatus.MULTIPLE_CHOICES and not has_seal:
             return Failure(LinkBroke('a success without its seal'))
     return Success(
         OpenedResponse(
             status=response.status,
-            headers=_pass_headers(response.headers),
+            headers=_filter_headers(response.headers),
             execution=execution,
             chunks=_read_chunks(response),
-            framed=not _FRAMES.isdisjoint(named),
+            framed=not _FRAMING_HEADERS.isdisjoint(values_by_name),
             backoff=advisory.backoff,
         )
     )
 
 
 def read_advisory(response: httpcore.Response) -> Advisory:
-    """Read what an upstream says of itself beside an answer.
+    """Parse the advisory headers of a response.
 
-    Another upstream at its address says nothing of it.
+    A response from another upstream at the same address carries no advisory.
     """
     if response.status == HTTPStatus.MISDIRECTED_REQUEST:
         return Advisory()
-    named = {name.lower(): value for name, value in response.headers}
-    asked = named.get(HEADER_RETRY_AFTER.encode(), b'')
+    values_by_name = {name.lower(): value for name, value in response.headers}
+    retry_after = values_by_name.get(HEADER_RETRY_AFTER.encode(), b'')
     unavailable = response.status == HTTPStatus.SERVICE_UNAVAILABLE
     limit_name = HEADER_LIMIT.encode()
     return Advisory(
-        leaving=named.get(HEADER_LEAVING.encode(), b'').strip() == b'1',
-        backoff=parse_retry_after(asked) if unavailable else 0,
+        leaving=values_by_name.get(HEADER_LEAVING.encode(), b'').strip()
+        == b'1',
+        backoff=parse_retry_after(retry_after) if unavailable else 0,
         limit=parse_limit(
             value
             for name, value in response.headers
@@ -167,7 +171,7 @@
 
 
 def read_copy(response: httpcore.Response) -> Result[Copied, CopyFailed]:
-    """Read what became of a copy."""
+    """Parse the result of a copy."""
     try:
         answer = msgspec.json.decode(response.content, type=_CopyAnswer)
     except msgspec.MsgspecError:
@@ -186,7 +190,7 @@
 def read_report(
     response: httpcore.Response,
 ) -> Result[EngineReport, SendFailure]:
-    """Read an engine's report."""
+    """Parse an engine's report."""
     if response.status != HTTPStatus.OK:
         return Failure(LinkBroke(f'status {response.status}'))
     try:
@@ -201,7 +205,7 @@
             used_tokens=stored.kv_used,
             total_tokens=stored.kv_total,
             leaves_in=None if leaves is None else int(leaves),
-            leaving=stored.state == WORD_DRAINING
+            leaving=stored.state == STATE_DRAINING
             or read_advisory(response).leaving,
             runs=tuple(RunReport(*row) for row in stored.runs),
             born=stored.born,
@@ -209,19 +213,21 @@
     )
 
 
-def _judge(status: int, named: dict[bytes, bytes]) -> ExecutionStatus:
+def _read_execution_status(
+    status: int, values_by_name: dict[bytes, bytes]
+) -> ExecutionStatus:
     if status == HTTPStatus.MISDIRECTED_REQUEST:
         return ExecutionStatus.REPLACED
-    if HEADER_NOT_RUN.encode() in named:
+    if HEADER_NOT_RUN.encode() in values_by_name:
         return ExecutionStatus.NOT_RUN
     return ExecutionStatus.RAN
 
 
-def _pass_headers(headers: list[tuple[bytes, bytes]]) -> Headers:
+def _filter_headers(headers: list[tuple[bytes, bytes]]) -> Headers:
     return tuple(
         (name.lower(), value)
         for name, value in headers
-        if name.lower() not in _HIDDEN_HEADERS
+        if name.lower() not in _DROPPED_HEADERS
     )
 
 
--- a/src/cartdale/platform/main.py
+++ b/src/cartdale/platform/main.py
@@ -22,7 +22,7 @@
 
 
 def main() -> None:
-    """Run the daemon with the settings that the platform laid out."""
+    """Run the daemon with the settings file that the platform provides."""
     path = Path(os.environ.get(SETTINGS_PATH_VARIABLE, _DEFAULT_PATH))
     try:
         settings = load_platform_settings(path)
--- a/src/cartdale/platform/names.py
+++ b/src/cartdale/platform/names.py
@@ -1,4 +1,4 @@
-"""Names on the platform's wire that more than one module needs."""
+"""Names on the platform's wire that several modules use."""
 
 from typing import Final
 
@@ -6,16 +6,17 @@
 HEADER_DEADLINE: Final = 'deadline-ms'
 HEADER_TENANT: Final = 'tenant'
 HEADER_EXPECT: Final = 'expect-instance'
-#: Names the upstream that answers a health check.
+#: In a health check's response: the id of the upstream.
 HEADER_INSTANCE: Final = 'instance-id'
 HEADER_LOAD: Final = 'instance-load'
-#: Of the store's answers: rises each time that it comes back from a copy.
+#: In the store's responses: increases each time the store is restored.
 HEADER_ERA: Final = 'store-era'
 HEADER_NOT_RUN: Final = 'not-executed'
 HEADER_RETRY_AFTER: Final = 'retry-after'
-#: Of an upstream's answer, where the upstream takes no new work any more.
+#: In an upstream's response: the upstream accepts no new work.
 HEADER_LEAVING: Final = 'server-leaving'
-#: Of an upstream's answer: requests a second that it takes from all instances.
+#: In an upstream's response: requests per second that it accepts from all
+#: instances together.
 HEADER_LIMIT: Final = 'server-limit'
 HEADER_TOKENS: Final = 'token-count'
 HEADER_URGENCY: Final = 'request-urgency'
@@ -26,9 +27,9 @@
 HEADER_AUTHORIZATION: Final = 'authorization'
 HEADER_SEAL: Final = 'response-seal'
 
-#: State of an upstream that takes new work, and of one that does not.
-WORD_READY: Final = 'ready'
-WORD_DRAINING: Final = 'draining'
+#: States of an upstream that accepts new work, and of one that does not.
+STATE_READY: Final = 'ready'
+STATE_DRAINING: Final = 'draining'
 
 PATH_REPORT: Final = '/cartdale/report'
 PATH_MOVE: Final = '/cartdale/kv-move'
--- a/src/cartdale/platform/settings.py
+++ b/src/cartdale/platform/settings.py
@@ -1,7 +1,7 @@
-"""Read the settings file that the platform lays on a machine.
+"""Read the settings file that the platform provides on a machine.
 
-Each line is ``a.b=value``; commas join the items of a list. Fields that are
-not known are skipped, since later versions of the platform may add some.
+Each line is ``a.b=value``; list items are separated by commas. Unknown fields
+are skipped, since later versions of the platform may add some.
 """
 
 from collections.abc import Callable
@@ -16,15 +16,15 @@
 #: Environment variable that holds the path of the settings file.
 SETTINGS_PATH_VARIABLE: Final = 'CARTDALE_BOOT'
 
-_HIGHEST_PORT = 65535
-_MISSING_LINE = 0
+_MAX_PORT = 65535
+_NO_LINE = 0
 
 Parsed = TypeVar('Parsed')
 
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """Name an address that a process binds or connects to."""
+    """An address that a process binds or connects to."""
 
     address: str
     port: int
@@ -32,14 +32,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """Hold the time bounds that the platform sets.
-
-    :param grace: from SIGTERM to SIGKILL.
-    :param retry_ratio: repeats allowed for each request of a service.
-    :param retry_window: span over which repeats are counted.
-    :param retry_slack: repeats allowed on top, in all instances together.
-    :param contact: an instance is held to its bounds so long after a trouble.
-    :param cold: what a cold upstream may get from all instances together.
+    """The bounds that the platform sets.
+
+    :param grace: time from SIGTERM to SIGKILL.
+    :param retry_ratio: retries allowed per request of a service.
+    :param retry_window: window over which retries are counted.
+    :param retry_slack: additional retries allowed in all instances together.
+    :param contact: recovery time after a fault; from then on an instance must
+        meet its bounds.
+    :param cold: bound of the requests to a cold upstream from all instances
+        together.
     """
 
     grace: Millis
@@ -52,17 +54,18 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformSettings:
-    """Configure one instance on the platform.
+    """The settings of one instance on the platform.
 
     :param name: unique among the machines.
-    :param callers: where callers connect.
-    :param ready: where the balancer asks whether to send connections here.
-    :param peer_ports: first and last port that is free between instances.
+    :param callers: endpoint for callers.
+    :param ready: endpoint that the load balancer polls for readiness.
+    :param peer_ports: first and last port that instances may use among
+        themselves.
     :param store: the platform's store.
-    :param control: where other instances of the system ask; ``None`` where
-        the role does not serve that.
-    :param seeds: the same of up to three machines, which may be down.
-    :param regions_by_domain: the region in which each failure domain lies.
+    :param control: endpoint for requests of other instances; ``None`` if the
+        role does not serve it.
+    :param seeds: control endpoints of up to three machines, which may be down.
+    :param regions_by_domain: the region of each failure domain.
     """
 
     name: str
@@ -80,20 +83,20 @@
 
 
 def load_platform_settings(path: Path) -> PlatformSettings:
-    """Read and check a settings file.
+    """Read and validate a settings file.
 
     :raises BadInputError: naming file, line and field of every fault.
     """
     try:
         text = path.read_text(encoding='utf-8')
     except (OSError, UnicodeDecodeError) as error:
-        location = SourceLocation(str(path), _MISSING_LINE, '(file)')
+        location = SourceLocation(str(path), _NO_LINE, '(file)')
         raise BadInputError((InputFault(location, str(error)),)) from error
     return parse_platform_settings(text, str(path))
 
 
 def read_stamp(path: Path) -> tuple[int, int]:
-    """Return what changes when the file does; zeros when there is none."""
+    """Return the file's modification time and size; zeros if it is missing."""
     try:
         status = path.stat()
     except OSError:
@@ -102,39 +105,51 @@
 
 
 def parse_platform_settings(text: str, path: str) -> PlatformSettings:
-    """Check the text of a settings file.
+    """Parse and validate the text of a settings file.
 
-    :param path: names the file in errors.
+    :param path: path of the file for error messages.
     :raises BadInputError: naming file, line and field of every fault.
     """
     reader = _FieldReader(text, path)
     settings = PlatformSettings(
-        name=reader.take('node', _parse_text, ''),
-        address=reader.take('ip', _parse_text, ''),
-        failure_domain=reader.take('zone', _parse_text, ''),
-        region=reader.take('region', _parse_text, ''),
-        callers=reader.take('listen.front', _parse_endpoint, _NO_ENDPOINT),
-        ready=reader.take('listen.ready', _parse_endpoint, _NO_ENDPOINT),
-        peer_ports=reader.take('internalPorts', _parse_ports, (0, 0)),
-        store=reader.take('platform.address', _parse_endpoint, _NO_ENDPOINT),
+        name=reader.parse_required('node', _parse_text, ''),
+        address=reader.parse_required('ip', _parse_text, ''),
+        failure_domain=reader.parse_required('zone', _parse_text, ''),
+        region=reader.parse_required('region', _parse_text, ''),
+        callers=reader.parse_required(
+            'listen.front', _parse_endpoint, _NO_ENDPOINT
+        ),
+        ready=reader.parse_required(
+            'listen.ready', _parse_endpoint, _NO_ENDPOINT
+        ),
+        peer_ports=reader.parse_required('internalPorts', _parse_ports, (0, 0)),
+        store=reader.parse_required(
+            'platform.address', _parse_endpoint, _NO_ENDPOINT
+        ),
         bounds=Bounds(
-            grace=reader.take('bounds.graceS', _parse_seconds, 0),
-            retry_ratio=reader.take('bounds.retryBudgetRatio', float, float()),
-            retry_window=reader.take('bounds.budgetWindowS', _parse_seconds, 0),
-            retry_slack=reader.take('bounds.budgetSlack', float, float()),
-            contact=reader.take_optional(
+            grace=reader.parse_required('bounds.graceS', _parse_seconds, 0),
+            retry_ratio=reader.parse_required(
+                'bounds.retryBudgetRatio', float, float()
+            ),
+            retry_window=reader.parse_required(
+                'bounds.budgetWindowS', _parse_seconds, 0
+            ),
+            retry_slack=reader.parse_required(
+                'bounds.budgetSlack', float, float()
+            ),
+            contact=reader.parse_optional(
                 'bounds.contactMs', int, 3 * SECOND_MS
             ),
             cold=ColdBound(
-                reader.take_optional('bounds.coldOverage', float, 1.0),
-                reader.take_optional('bounds.coldSlack', float, float()),
+                reader.parse_optional('bounds.coldOverage', float, 1.0),
+                reader.parse_optional('bounds.coldSlack', float, float()),
             ),
         ),
-        control=reader.take_optional('listen.control', _parse_endpoint, None),
-        seeds=reader.take_optional('seeds', _parse_endpoints, ()),
-        regions_by_domain=reader.take_table('zones.'),
+        control=reader.parse_optional('listen.control', _parse_endpoint, None),
+        seeds=reader.parse_optional('seeds', _parse_endpoints, ()),
+        regions_by_domain=reader.parse_table('zones.'),
     )
-    reader.finish()
+    reader.raise_faults()
     return settings
 
 
@@ -142,67 +157,67 @@
 
 
 class _FieldReader:
-    """Take typed fields from the text and gather every fault."""
+    """Parser of typed fields that collects every fault."""
 
     def __init__(self, text: str, path: str) -> None:
         self._path = path
         self._faults: list[InputFault] = []
         self._rows_by_field: dict[str, tuple[int, str]] = {}
         for number, line in enumerate(text.splitlines(), start=1):
-            self._add(number, line.strip())
+            self._add_line(number, line.strip())
 
-    def take(
+    def parse_required(
         self, name: str, parse: Callable[[str], Parsed], missing: Parsed
     ) -> Parsed:
-        """Return a field's value, or note a fault and return ``missing``."""
-        number, raw = self._rows_by_field.get(name, (_MISSING_LINE, ''))
+        """Return a field's value, or record a fault and return ``missing``."""
+        number, raw = self._rows_by_field.get(name, (_NO_LINE, ''))
         if not raw:
-            self._blame(number, name, 'a value is required')
+            self._add_fault(number, name, 'a value is required')
             return missing
-        return self.take_optional(name, parse, missing)
+        return self.parse_optional(name, parse, missing)
 
-    def take_optional(
+    def parse_optional(
         self, name: str, parse: Callable[[str], Parsed], missing: Parsed
     ) -> Parsed:
-        """Return a field's value, or ``missing`` where there is none.
+        """Return a field's value, or ``missing`` if there is none.
 
-        A value that can't be read is a fault here too.
+        A value that can't be parsed is recorded as a fault here too.
         """
-        number, raw = self._rows_by_field.get(name, (_MISSING_LINE, ''))
+        number, raw = self._rows_by_field.get(name, (_NO_LINE, ''))
         if not raw:
             return missing
         try:
             return parse(raw)
         except ValueError as error:
-            self._blame(number, name, str(error))
+            self._add_fault(number, name, str(error))
             return missing
 
-    def take_table(self, prefix: str) -> dict[str, str]:
-        """Return the values of all fields with a prefix by what follows it."""
+    def parse_table(self, prefix: str) -> dict[str, str]:
+        """Return all fields with a prefix, keyed by the rest of their name."""
         return {
             name.removeprefix(prefix): raw
             for name, (_, raw) in self._rows_by_field.items()
             if name.startswith(prefix)
         }
 
-    def finish(self) -> None:
-        """Raise what was found.
+    def raise_faults(self) -> None:
+        """Raise the collected faults.
 
-        :raises BadInputError: when there was any fault.
+        :raises BadInputError: if there is any fault.
         """
         if self._faults:
             raise BadInputError(tuple(self._faults))
 
-    def _add(self, number: int, line: str) -> None:
+    def _add_line(self, number: int, line: str) -> None:
         if not line or line.startswith('#'):
             return
         name, mark, raw = line.partition('=')
         if not mark:
-            self._blame(number, line, 'expected NAME=VALUE')
+            self._add_fault(number, line, 'expected NAME=VALUE')
             return
         self._rows_by_field[name.strip()] = (number, raw.strip())
 
-    def _blame(self, number: int, name: str, expected: str) -> None:
+    def _add_fault(self, number: int, name: str, expected: str) -> None:
         location = SourceLocation(self._path, number, name)
         self._faults.append(InputFault(location, expected))
 
@@ -228,8 +243,8 @@
 
 def _parse_port(raw: str) -> int:
     port = int(raw)
-    if not 0 < port <= _HIGHEST_PORT:
-        raise ValueError(f'expected a port from 1 to {_HIGHEST_PORT}')
+    if not 0 < port <= _MAX_PORT:
+        raise ValueError(f'expected a port from 1 to {_MAX_PORT}')
     return port
 
 
--- a/src/cartdale/platform/store.py
+++ b/src/cartdale/platform/store.py
@@ -1,4 +1,4 @@
-"""Adapter to the platform's key-value store, which speaks JSON over HTTP."""
+"""Client of the platform's key-value store, which uses JSON over HTTP."""
 
 import base64
 from collections import Counter
@@ -21,7 +21,7 @@
     encode_revision,
     read_era,
 )
-from cartdale.platform.pools import limit_time, make_pool
+from cartdale.platform.pools import make_pool, make_timeouts
 from cartdale.platform.settings import Endpoint
 from cartdale.platform.store_shapes import (
     Events,
@@ -63,11 +63,11 @@
 _PATH_RENEW = '/cartdale/kv-keep/'
 _PATH_REVOKE = '/cartdale/kv-lease-end/'
 
-#: How long a held watch may answer late before it is taken for lost.
-_WATCH_SLACK: Millis = SECOND_MS // 2
+#: Maximum delay of a long-poll response before the watch counts as lost.
+_MAX_WATCH_DELAY: Millis = SECOND_MS // 2
 
-#: Statuses that say that the call had no effect.
-_REFUSED = frozenset(
+#: Statuses which mean that the call had no effect.
+_NO_EFFECT_STATUSES = frozenset(
     (HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE),
 )
 
@@ -75,11 +75,11 @@
 
 
 class PlatformStore:
-    """Reach the platform's store.
+    """Client of the platform's store.
 
-    :param pool: connections that are kept.
-    :param address: where the store is.
-    :param timeout: longest wait for an answer, in milliseconds.
+    :param pool: pool of kept-alive connections.
+    :param address: endpoint of the store.
+    :param timeout: maximum wait for a response, in milliseconds.
     """
 
     def __init__(
@@ -91,10 +91,10 @@
         self._pool = pool
         self._address = address
         self._timeout = timeout
-        #: The newest era that an answer named.
+        #: The newest era seen in a response.
         self._era = 0
-        #: In which era each lease of this instance was granted. Numbers of
-        #: leases may be given out again as well.
+        #: The era in which each lease of this instance was granted: lease ids
+        #: may be assigned again after a restore.
         self._eras_by_lease: dict[int, int] = {}
         self.calls_by_path: Counter[str] = Counter()
 
@@ -103,13 +103,13 @@
     ) -> Result[Listing, StoreFailure]:
         """Read a page of the keys with a prefix, after the key ``start``.
 
-        :param limit: not known to this store, which has a limit of its own.
+        :param limit: ignored; this store applies a limit of its own.
         """
         params = {'pathPrefix': prefix}
         if start:
             params['sinceRevision'] = start
         answer = await self._call('GET', _PATH_RANGE, params=params)
-        return answer.bind(_read_page).alt(_harmless)
+        return answer.bind(_read_page).alt(_as_unavailable)
 
     async def watch(
         self, prefix: str, after: int, timeout: Millis
@@ -124,15 +124,20 @@
             'waitMs': str(timeout),
         }
         answer = await self._call(
-            'GET', _PATH_WATCH, params=params, timeout=timeout + _WATCH_SLACK
+            'GET',
+            _PATH_WATCH,
+            params=params,
+            timeout=timeout + _MAX_WATCH_DELAY,
+        )
+        return answer.bind(partial(_read_events, watched_era=era)).alt(
+            _as_unavailable
         )
-        return answer.bind(partial(_read_events, asked=era)).alt(_harmless)
 
     async def transact(
         self, compares: tuple[Compare, ...], writes: tuple[Write, ...]
     ) -> Result[TransactionOutcome, StoreFailure]:
         """Apply all writes if all comparisons hold."""
-        if any(self._is_outlived(compare) for compare in compares):
+        if any(self._is_of_earlier_era(compare) for compare in compares):
             return Success(CompareFailed(0))
         puts = [write for write in writes if isinstance(write, Put)]
         request = TransactionRequest(
@@ -182,16 +187,16 @@
         return answer.map(lambda _: None)
 
     def _has_lost(self, lease: int) -> bool:
-        """Tell whether a lease may be another's since the store came back."""
+        """Return whether a lease id may have been reassigned by a restore."""
         return self._eras_by_lease.get(lease, self._era) != self._era
 
-    def _is_outlived(self, compare: Compare) -> bool:
-        """Tell whether a condition names a revision of an earlier era."""
+    def _is_of_earlier_era(self, compare: Compare) -> bool:
+        """Return whether a condition names a revision of an earlier era."""
         known = compare.mod_revision
         return bool(known) and decode_era(known) != self._era
 
-    def _note_era(self, response: httpcore.Response) -> None:
-        """Follow the eras, which only rise; an answer may come late."""
+    def _update_era(self, response: httpcore.Response) -> None:
+        """Update the era, which only increases; responses may be reordered."""
         era = read_era(response)
         if era > self._era:
             logger.warning('store came back older', era=era, before=self._era)
@@ -205,7 +210,7 @@
         params: dict[str, str] | None = None,
         timeout: Millis = 0,
     ) -> Result[httpcore.Response, StoreFailure]:
-        # Calls about a lease end with its number.
+        # The paths of calls on a lease end with its id.
         self.calls_by_path[path.rstrip(digits)] += 1
         body = b'' if request is None else msgspec.json.encode(request)
         try:
@@ -214,14 +219,14 @@
                 self._make_url(path, params),
                 content=body,
                 headers={'content-type': 'application/json'},
-                extensions=limit_time(timeout or self._timeout),
+                extensions=make_timeouts(timeout or self._timeout),
             )
         except HTTPCORE_NOT_SENT_ERRORS as error:
             return Failure(StoreUnavailable(format_error(error)))
         except HTTPCORE_UNKNOWN_OUTCOME_ERRORS as late_error:
             return Failure(WriteUnknown(format_error(late_error)))
-        self._note_era(response)
-        if response.status in _REFUSED:
+        self._update_era(response)
+        if response.status in _NO_EFFECT_STATUSES:
             return Failure(StoreUnavailable(str(response.status)))
         return Success(response)
 
@@ -238,15 +243,15 @@
 
 
 def make_store(address: Endpoint, timeout: Millis) -> PlatformStore:
-    """Return the platform's store over connections of its own.
+    """Return a client of the platform's store with its own connection pool.
 
-    :param timeout: longest wait for an answer.
+    :param timeout: maximum wait for a response.
     """
     return PlatformStore(make_pool(), address, timeout)
 
 
-def _harmless(failure: StoreFailure) -> StoreFailure:
-    """Say that a read without an answer certainly changed nothing."""
+def _as_unavailable(failure: StoreFailure) -> StoreFailure:
+    """Turn an unknown outcome into a plain failure: a read changes nothing."""
     if isinstance(failure, WriteUnknown):
         return StoreUnavailable(failure.detail)
     return failure
@@ -276,14 +281,14 @@
 
 
 def _read_events(
-    response: httpcore.Response, asked: int
+    response: httpcore.Response, watched_era: int
 ) -> Result[Changes, StoreFailure]:
-    """Read what changed, unless the store came back older meanwhile.
+    """Parse the changes, unless the store was restored in the meantime.
 
-    :param asked: era of the revision that was asked from.
+    :param watched_era: era of the revision that the watch started from.
     """
     era = read_era(response)
-    if response.status == HTTPStatus.GONE or era != asked:
+    if response.status == HTTPStatus.GONE or era != watched_era:
         return Failure(HistoryLost())
     return _decode(response, Events).map(
         lambda answer: Changes(
@@ -309,7 +314,7 @@
 def _decode_conflict(
     response: httpcore.Response,
 ) -> Result[TransactionOutcome, StoreFailure]:
-    """Read a conflict, which has a status of its own and a body as pages."""
+    """Parse a conflict, whose body has the shape of a page."""
     try:
         found = msgspec.json.decode(response.content, type=Page)
     except msgspec.MsgspecError as error:
--- a/src/cartdale/platform/store_shapes.py
+++ b/src/cartdale/platform/store_shapes.py
@@ -1,4 +1,4 @@
-"""Shapes of the platform's store on the wire."""
+"""Message types of the platform's store on the wire."""
 
 import base64
 import binascii
@@ -10,10 +10,10 @@
 
 
 class StoredItem(msgspec.Struct):
-    """Hold a key, or its removal, as the store writes it."""
+    """A key, or its removal, as the store encodes it."""
 
     key: str
-    #: Base64; empty in an event that tells of a removal.
+    #: Base64; empty in the event of a removal.
     value: str = ''
     #: Store revision of the last write.
     revision: int = 0
@@ -23,7 +23,7 @@
     deleted: bool = False
 
     def decode(self) -> bytes:
-        """Return the value; empty when its base64 is broken."""
+        """Return the value; empty if its base64 is invalid."""
         try:
             return base64.b64decode(self.value)
         except binascii.Error as error:
@@ -34,32 +34,32 @@
 
 
 class Page(msgspec.Struct, rename='camel'):
-    """Answer a read of many keys."""
+    """Response to a read of several keys."""
 
     rows: tuple[StoredItem, ...] = msgspec.field(name='items')
     truncated: bool = False
-    #: Revision of the whole store when it was read.
+    #: Revision of the store at the time of the read.
     as_of: int = 0
 
 
 class Events(msgspec.Struct, rename='camel'):
-    """Answer a watch."""
+    """Response to a watch."""
 
     events: tuple[StoredItem, ...] = ()
-    #: Where the next watch continues.
+    #: Revision from which the next watch continues.
     as_of: int = 0
 
 
 class Expectation(msgspec.Struct):
-    """Require a key's last write to be at a revision."""
+    """Condition on the revision of a key's last write."""
 
     key: str
-    #: Store revision of the key's last write; 0 when it must be absent.
+    #: Store revision of the key's last write; 0 if it must be absent.
     revision: int
 
 
 class StoredPut(msgspec.Struct):
-    """Write one key."""
+    """Write of one key."""
 
     key: str
     value: str
@@ -67,28 +67,28 @@
 
 
 class TransactionRequest(msgspec.Struct, rename='camel'):
-    """Ask for writes under conditions."""
+    """Request of conditional writes."""
 
-    #: What must hold for the call to do anything.
+    #: Conditions that must all hold for the writes to be applied.
     expected_revision: tuple[Expectation, ...]
     writes: tuple[StoredPut, ...]
     remove: tuple[str, ...]
 
 
 class Written(msgspec.Struct):
-    """Answer a transaction that was done."""
+    """Response to a committed transaction."""
 
     revision: int = 0
 
 
 class LeaseAnswer(msgspec.Struct, rename='camel'):
-    """Answer a grant or a renewal."""
+    """Response to a grant or renewal of a lease."""
 
     lease: int = 0
     ttl_ms: float = 0
 
 
 class LeaseRequest(msgspec.Struct, rename='camel'):
-    """Ask for a lease."""
+    """Request of a lease."""
 
     ttl_ms: Millis
--- a/src/cartdale/platform/translate.py
+++ b/src/cartdale/platform/translate.py
@@ -1,4 +1,4 @@
-"""Bind the platform's wire to the product's interfaces."""
+"""Translate between the platform's wire and cartdale's interfaces."""
 
 from cartdale.clock import Millis
 from cartdale.fleet.evacuation import Evacuation
@@ -22,12 +22,12 @@
 from cartdale.relay.types import CallerRequest, Headers
 from cartdale.store.types import Entry, Removed
 
-#: Keys that instances write for each other.
+#: Prefix of the keys that instances write for each other.
 _OWN_PREFIX = 'cartdale/'
 
 
 def read_table(raw: bytes) -> StoredChange:
-    """Decode a configuration as the store or a peer holds it."""
+    """Decode a configuration from the store or a peer."""
     try:
         return TableWritten(decode_table(raw), raw)
     except BadDocumentError as error:
@@ -35,7 +35,7 @@
 
 
 class PlatformWire:
-    """Translate callers' headers."""
+    """Translator of callers' headers."""
 
     def read_request(
         self, method: str, target: bytes, headers: Headers
@@ -44,12 +44,12 @@
         return read_request(method, target, headers)
 
     def write_refusal(self, status: int, retry_after: Millis) -> Headers:
-        """Return the headers of an answer of our own."""
+        """Return the headers of a refusal by this instance."""
         return write_refusal(status, retry_after)
 
 
 def decode_change(change: Entry | Removed) -> StoredChange | None:
-    """Decode what is stored under one of the platform's keys."""
+    """Decode a change of one of the platform's keys."""
     if change.key.startswith(_OWN_PREFIX):
         stored = b'' if isinstance(change, Removed) else change.value
         return OwnKey(change.key, stored)
@@ -73,7 +73,7 @@
 
 
 def _read_evacuation(change: Entry | Removed) -> EvacuationWritten:
-    """Read that a failure domain is evacuated; only the key says which."""
+    """Decode the evacuation of a failure domain, which only the key names."""
     domain = change.key.removeprefix(EVACUATION_PREFIX)
     revision = change.mod_revision
     active = not isinstance(change, Removed)
--- a/src/cartdale/platform/upstreams.py
+++ b/src/cartdale/platform/upstreams.py
@@ -1,8 +1,8 @@
-"""Adapter to the platform's upstreams: plain services and engines.
+"""Client of the platform's upstreams: plain services and engines.
 
-Every request goes over a connection of its own: an upstream may send late
-answers, forget idle connections and reset old ones, and a new connection
-costs less than telling these apart.
+Every request uses a new connection: an upstream may send late responses, drop
+idle connections and reset old ones, and a new connection costs less than
+distinguishing these cases.
 """
 
 from collections.abc import AsyncIterator, Mapping
@@ -33,7 +33,7 @@
     PATH_MOVE,
     PATH_REPORT,
 )
-from cartdale.platform.pools import limit_time, make_pool
+from cartdale.platform.pools import make_pool, make_timeouts
 from cartdale.relay.types import (
     Copied,
     CopyFailed,
@@ -52,29 +52,29 @@
     HTTPCORE_UNKNOWN_OUTCOME_ERRORS,
 )
 
-#: Tells that a connection is up and the request is sent next.
+#: httpcore trace event: the connection is open and the request is sent next.
 _BEFORE_SENDING = 'http11.send_request_headers.started'
-#: Longest wait for a report.
+#: Maximum wait for a report.
 _REPORT_TIMEOUT: Millis = 500
 
 
 class _WithheldError(Exception):
-    """Stop a request before anything of it is sent."""
+    """Raised to abort a request before any of it is sent."""
 
 
 class _SendGuard:
-    """Stop a request just before it is sent, if it must not be any more."""
+    """Trace callback that aborts a request which must no longer be sent."""
 
     def __init__(
         self, advisories: AdvisoryRecorder, call: UpstreamCall
     ) -> None:
         self._advisories = advisories
         self._call = call
-        #: When it was sent, in monotonic milliseconds.
+        #: Time at which the request was sent, in monotonic milliseconds.
         self.sent_at: Millis = 0
 
     async def __call__(self, event: str, _: Mapping[str, Any]) -> None:
-        """Take an event of the connection; httpcore awaits each."""
+        """Handle a trace event of the connection; httpcore awaits each."""
         if event != _BEFORE_SENDING:
             return
         resumes = self._call.resume is not None
@@ -86,20 +86,20 @@
 
 
 class PlatformUpstreams:
-    """Reach upstreams over HTTP.
+    """Client of upstreams over HTTP.
 
-    :param advisories: takes what upstreams say of themselves.
+    :param advisories: records the advisories of upstreams.
     """
 
     def __init__(self, advisories: AdvisoryRecorder) -> None:
         self._advisories = advisories
-        self._pool = make_pool(most_kept=0)
+        self._pool = make_pool(max_idle=0)
 
     @asynccontextmanager
     async def open(
         self, call: UpstreamCall
     ) -> AsyncIterator[Result[OpenedResponse, SendFailure]]:
-        """Send a request and read the head of its answer."""
+        """Send a request and read the head of its response."""
         request = call.routed.request
         guard = _SendGuard(self._advisories, call)
         outgoing = httpcore.Request(
@@ -107,7 +107,7 @@
             _make_url(call.upstream.address, request.target),
             headers=write_headers(call),
             content=request.body,
-            extensions={**limit_time(None), 'trace': guard},
+            extensions={**make_timeouts(None), 'trace': guard},
         )
         try:
             response = await self._pool.handle_async_request(outgoing)
@@ -123,7 +123,8 @@
         advisory = read_advisory(response)
         answer = read_head(call, response, advisory)
         if not is_successful(answer):
-            # It may be another's answer, which says nothing by its silence.
+            # The response may be another upstream's, so that the absence of
+            # an advisory means nothing.
             advisory = advisory.without_absence()
         self._advisories.record(
             call.upstream.upstream, advisory, request.request_id, guard.sent_at
@@ -135,12 +136,12 @@
 
     async def copy(self, copy: MemoryCopy) -> Result[Copied, CopyFailed]:
         """Copy a generation's memory."""
-        order = CopyRequest(copy.request_id, copy.target, copy.last)
-        answer = await self._ask(
+        body = CopyRequest(copy.request_id, copy.target, copy.last)
+        answer = await self._request(
             'POST',
             copy.source,
             PATH_MOVE,
-            msgspec.json.encode(order),
+            msgspec.json.encode(body),
             copy.timeout,
         )
         match answer:
@@ -151,14 +152,14 @@
         return Failure(CopyFailed(CopyFault.NO_ANSWER))
 
     async def release_copy(self, address: str, handle: str) -> None:
-        """Free a copy that is not needed."""
-        await self._ask(
+        """Free a copy that is no longer needed."""
+        await self._request(
             'DELETE', address, f'{PATH_HANDLE}{handle}', b'', _REPORT_TIMEOUT
         )
 
     async def report(self, address: str) -> Result[EngineReport, SendFailure]:
-        """Read what an engine holds."""
-        answer = await self._ask(
+        """Read an engine's report."""
+        answer = await self._request(
             'GET', address, PATH_REPORT, b'', _REPORT_TIMEOUT
         )
         return answer.bind(read_report)
@@ -166,17 +167,18 @@
     async def is_gone(
         self, upstream: UpstreamEntry, spec: ServiceSpec | None
     ) -> bool:
-        """Tell whether an upstream ended, or started anew since its entry.
+        """Return whether an upstream ended, or restarted since its entry.
 
-        One that can't be reached, or that closes without a word, counts as
-        ended. An answer of any kind shows that it lives, and an engine's also
-        when it was born; so does a connection that is kept: a plain service
-        lets the question wait while all its slots are taken.
+        An upstream that is unreachable, or closes the connection without a
+        response, counts as ended. Any response shows that it is alive, and an
+        engine's also shows its start time. A timeout on an open connection
+        counts as alive too: a plain service lets the check wait while all its
+        slots are in use.
         """
         plain = spec is not None and spec.engine is None
         path = spec.health_path if spec is not None and plain else PATH_REPORT
-        asked_at = self._advisories.now()
-        answer = await self._ask(
+        sent_at = self._advisories.now()
+        answer = await self._request(
             'GET', upstream.address, path, b'', _REPORT_TIMEOUT
         )
         match answer:
@@ -185,22 +187,25 @@
             case Failure(NotSent()):
                 return True
         if plain:
-            answer.map(partial(self._hear_health, upstream.upstream, asked_at))
+            answer.map(partial(self._record_health, upstream.upstream, sent_at))
             return False
         born = answer.bind(read_report).map(_read_born).value_or(0)
         return bool(born and upstream.born and born != upstream.born)
 
-    def _hear_health(
-        self, upstream: str, asked_at: Millis, response: httpcore.Response
+    def _record_health(
+        self, upstream: str, sent_at: Millis, response: httpcore.Response
     ) -> None:
-        """Take what a health answer says, if this upstream gave it."""
-        named = {name.lower(): value for name, value in response.headers}
-        if named.get(HEADER_INSTANCE.encode()) == upstream.encode():
-            # Whether these answers name limits at all is not known.
+        """Record the advisory of a health response from this upstream."""
+        values_by_name = {
+            name.lower(): value for name, value in response.headers
+        }
+        if values_by_name.get(HEADER_INSTANCE.encode()) == upstream.encode():
+            # Health responses may never carry limits, so that their absence
+            # means nothing.
             advisory = read_advisory(response).without_absence()
-            self._advisories.record(upstream, advisory, '', asked_at)
+            self._advisories.record(upstream, advisory, '', sent_at)
 
-    async def _ask(
+    async def _request(
         self,
         method: str,
         address: str,
@@ -218,7 +223,7 @@
                 _make_url(address, path.encode()),
                 headers=headers,
                 content=body,
-                extensions=limit_time(timeout),
+                extensions=make_timeouts(timeout),
             )
         except HTTPCORE_NOT_SENT_ERRORS as error:
             return Failure(NotSent(format_error(error)))
