--- a/tests/test_platform_moves.py
+++ b/tests/test_platform_moves.py
@@ -1,4 +1,8 @@
-"""Generations that change their engine, or lose it, over real sockets."""
+"""Generations that move to another engine, or lose theirs, on real sockets.
+
+Guards against responses that are incomplete or generated twice when an engine
+drains, dies, goes silent or forgets a request.
+"""
 
 import httpx
 import trio
@@ -15,15 +19,15 @@
     whole,
 )
 
-#: Tokens of drafts that move: about three seconds, so that a busy machine
-#: does not end them before they do.
+#: Tokens of drafts that move: about three seconds, so that on a busy machine
+#: they don't end before they have moved.
 LONG = 800
 #: Tokens of a draft that is too short for a backup.
 SHORT = 80
-#: Longest until a caller hears of a request that its engine has forgotten: far
-#: less than the 15 s that it would wait, also on a busy machine.
+#: Maximum time until a caller gets a response to a request that its engine has
+#: forgotten: far less than the 15 s of its timeout, also on a busy machine.
 NOTICED_SECONDS = 10
-#: An engine that tells so much is not gone before anything can move.
+#: Announced remaining time that is long enough for any move.
 LEAVES_MS = 9000
 
 
@@ -41,7 +45,7 @@
         assert not target.memory.events_by_handle
 
 
-async def test_engine_whose_entry_does_not_tell_is_asked() -> None:
+async def test_engine_whose_entry_shows_no_notice_is_queried() -> None:
     async with open_platform(engines=1) as stage:
         async with trio.open_nursery() as nursery:
             nursery.start_soon(draft, stage, 'r1', 4000)
@@ -54,7 +58,9 @@
     assert source.reports_asked
 
 
-async def test_generation_that_is_told_twice_to_move_moves_once() -> None:
+async def test_generation_that_is_ordered_to_move_repeatedly_moves_once() -> (
+    None
+):
     async with open_platform(engines=1) as stage:
         async with (
             draft_meanwhile(stage, 'r1', LONG) as answers,
@@ -71,15 +77,15 @@
             stage.drain(source)
         assert answers[0].content == whole('r1', LONG // STRIDE)
         assert target.resumed_by_request['r1'] == 1
-        # One copy or a few while the link is busy, and one that stops it;
-        # no two at a time.
+        # One or more copies while the link is busy, then one that stops the
+        # generation; no two at a time.
         assert not source.conflicts
         stops = source.stops_by_request['r1']
         assert len(stops) >= 2
         assert stops.index(True) == len(stops) - 1
 
 
-async def test_generation_goes_on_from_its_backup() -> None:
+async def test_generation_resumes_from_its_backup() -> None:
     async with open_platform(engines=2) as stage:
         async with draft_meanwhile(stage, 'r1', LONG) as answers:
             source = await find_runner(stage, 'r1')
@@ -108,7 +114,7 @@
         assert count_runs(stage, 'r1') == 1
 
 
-async def test_generation_without_room_elsewhere_is_not_waited_for() -> None:
+async def test_generation_without_a_target_does_not_delay_others() -> None:
     async with open_platform(engines=1) as stage:
         async with trio.open_nursery() as nursery:
             nursery.start_soon(draft, stage, 'r1', 4000)
@@ -120,7 +126,7 @@
             nursery.cancel_scope.cancel()
 
 
-async def test_generation_that_ends_as_it_is_stopped_is_whole() -> None:
+async def test_generation_that_ends_as_it_is_stopped_is_complete() -> None:
     async with open_platform(engines=1) as stage:
         async with draft_meanwhile(stage, 'r1', LONG) as answers:
             source = await find_runner(stage, 'r1')
@@ -134,7 +140,7 @@
         assert not target.resumed_by_request['r1']
 
 
-async def test_generation_goes_on_by_another_link_when_one_is_silent() -> None:
+async def test_generation_behind_a_silent_link_resumes_elsewhere() -> None:
     async with open_platform(engines=1) as stage:
         async with draft_meanwhile(stage, 'r1', LONG) as answers:
             source = await find_runner(stage, 'r1')
@@ -146,7 +152,7 @@
         assert target.resumed_by_request['r1'] == 1
 
 
-async def test_engine_that_is_silent_itself_is_waited_for() -> None:
+async def test_frozen_engine_is_waited_for() -> None:
     async with open_platform(engines=1) as stage:
         async with draft_meanwhile(stage, 'r1', LONG) as answers:
             source = await find_runner(stage, 'r1')
@@ -159,7 +165,7 @@
         assert not any(each.resumed_by_request for each in stage.engines)
 
 
-async def test_generation_whose_engine_dies_before_its_head_goes_on() -> None:
+async def test_generation_whose_engine_dies_before_its_head_resumes() -> None:
     async with open_platform(engines=2) as stage:
         for each in stage.engines:
             each.stream_faults.withhold_headers = True
@@ -172,12 +178,12 @@
         assert count_runs(stage, 'r1') == 1
 
 
-async def test_request_that_its_engine_forgot_is_not_waited_for() -> None:
+async def test_request_that_its_engine_forgot_fails_early() -> None:
     async with open_platform(engines=1) as stage:
         stage.engines[0].stream_faults.lose_requests = True
         with trio.fail_after(NOTICED_SECONDS):
             answer = await draft(stage, 'r1')
-        # It may have run: nothing is promised, and nobody runs it again.
+        # It may have run: its outcome is unknown, and it is not retried.
         assert answer.status_code == httpx.codes.BAD_GATEWAY
         assert count_runs(stage, 'r1') == 1
 
@@ -215,7 +221,7 @@
             source.leaves_ms = LEAVES_MS
             stage.drain(source)
             await until(lambda: source.stops_by_request)
-            # The caller leaves while the copy is under way.
+            # The caller leaves while the copy is in progress.
             nursery.cancel_scope.cancel()
         mover = stage.runtimes[0].mover
         await until(lambda: not mover.list_generations())
@@ -225,13 +231,13 @@
         assert not target.memory.events_by_handle
 
 
-async def test_engine_that_drains_is_not_asked_over_and_over() -> None:
+async def test_draining_engine_is_not_queried_repeatedly() -> None:
     async with open_platform(engines=2) as stage:
         async with trio.open_nursery() as nursery:
             nursery.start_soon(draft, stage, 'r1', 2000)
             source = await find_runner(stage, 'r1')
             stage.drain(source)
-            # The generation has a backup and stays for ten sweeps.
+            # The generation has a backup and stays for ten checks.
             await trio.sleep(3)
             nursery.cancel_scope.cancel()
         assert source.reports_asked <= 3
@@ -241,14 +247,14 @@
     async with open_platform(engines=1) as stage:
         failures: list[type] = []
 
-        async def ask() -> None:
+        async def request_draft() -> None:
             try:
                 await draft(stage, 'r1')
             except httpx.RemoteProtocolError as error:
                 failures.append(type(error))
 
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(ask)
+            nursery.start_soon(request_draft)
             source = await find_runner(stage, 'r1')
             source.die()
         assert failures == [httpx.RemoteProtocolError]
--- a/tests/test_platform_path.py
+++ b/tests/test_platform_path.py
@@ -1,4 +1,8 @@
-"""The whole path on the platform, with failures, over real sockets."""
+"""Requests through all components on the platform, over real sockets.
+
+Guards against failures of upstreams, peers and the store that lose a response,
+run a request twice, or leave an old configuration in force.
+"""
 
 import msgspec
 import trio
@@ -24,7 +28,7 @@
 )
 
 
-async def test_plain_answer_is_passed_on_whole() -> None:
+async def test_plain_response_is_forwarded_completely() -> None:
     async with open_platform() as stage:
         answer = await stage.client.post(
             stage.url('/cut/one?x=%20y'),
@@ -77,7 +81,7 @@
         assert (await stage.client.get(ready)).status_code == 200
 
 
-async def test_declined_request_goes_to_another_upstream() -> None:
+async def test_rejected_request_goes_to_another_upstream() -> None:
     async with open_platform(plains=2) as stage:
         for plain in stage.plains:
             plain.faults.rejections = 1
@@ -90,7 +94,7 @@
             assert count_runs(stage, f'r{number}') == 1
 
 
-async def test_unsafe_request_runs_once_when_its_answer_is_lost() -> None:
+async def test_unsafe_request_runs_once_if_its_response_is_lost() -> None:
     async with open_platform(plains=2) as stage:
         for plain in stage.plains:
             plain.faults.lost_responses = 1
@@ -101,7 +105,7 @@
         assert count_runs(stage, 'r1') == 1
 
 
-async def test_safe_request_is_repeated_and_another_answer_dropped() -> None:
+async def test_safe_request_is_retried_after_a_mismatched_response() -> None:
     async with open_platform(plains=2) as stage:
         for plain in stage.plains:
             plain.faults.mismatched_ids = 1
@@ -113,7 +117,7 @@
             assert answer.text == f'look/one of r{number}'
 
 
-async def test_stream_is_whole() -> None:
+async def test_stream_is_complete() -> None:
     async with open_platform() as stage:
         answer = await draft(stage, 'r1')
         assert answer.content == whole('r1')
@@ -142,7 +146,7 @@
         assert not stage.engines[0].runs_by_request
 
 
-async def test_peer_hands_on_a_configuration_past_a_busy_store() -> None:
+async def test_peer_distributes_a_configuration_past_a_silent_store() -> None:
     async with open_platform(instances=2) as stage:
         first, second = stage.runtimes
         await until(lambda: second.peers.news.count_alive() == 2)
@@ -154,7 +158,7 @@
         await until(lambda: second.fleet.table.version == 7)
 
 
-async def test_logs_explain_and_keep_secrets() -> None:
+async def test_logs_name_the_end_of_a_stream_but_no_key() -> None:
     lines: list[str] = []
     sink = logger.add(lines.append, serialize=True)
     async with open_platform() as stage:
@@ -167,7 +171,7 @@
     assert 'streams_total{end="whole"} 1' in metrics
 
 
-async def test_settings_that_change_are_taken(tmp_path) -> None:
+async def test_changed_settings_are_applied(tmp_path) -> None:
     path = tmp_path / 'settings'
     path.write_text(SETTINGS)
     settings = load_platform_settings(path)
@@ -182,14 +186,14 @@
         assert settings.bounds.grace == 8000
 
 
-async def test_history_that_is_lost_is_read_anew() -> None:
+async def test_configuration_is_listed_again_after_compaction() -> None:
     async with open_platform() as stage:
         stage.store.put('op/config', make_configuration(version=2))
         stage.store.compact()
         await stage.settle(version=2)
 
 
-async def test_stop_ends_what_runs_and_closes_connections() -> None:
+async def test_stop_completes_running_requests_and_closes_connections() -> None:
     async with open_platform() as stage:
         async with draft_meanwhile(stage, 'r1') as answers:
             await find_runner(stage, 'r1')
--- a/tests/test_platform_wire.py
+++ b/tests/test_platform_wire.py
@@ -90,7 +90,7 @@
     assert 'routes' in caught.value.format_message()
 
 
-def test_unknown_kind_is_taken_as_not_to_be_repeated() -> None:
+def test_unknown_kind_counts_as_unsafe() -> None:
     document = make_configuration()
     document['routes'][-1]['kind'] = 'of-a-later-version'
     table = decode_table(encode(document))
@@ -107,7 +107,7 @@
     assert entry.lifecycle is Lifecycle.LEAVING
 
 
-def test_keys_become_news() -> None:
+def test_changes_of_keys_are_decoded() -> None:
     good = encode(describe_upstream('s', 'a:1'))
     assert isinstance(
         decode_change(Entry('servers/i', good, 1, 1)), EntryWritten
@@ -167,7 +167,7 @@
     assert (request.deadline, request.prompt_tokens) == (0, 0)
 
 
-def test_refusals_say_when_to_come_back() -> None:
+def test_refusals_carry_retry_after_where_a_retry_helps() -> None:
     assert (b'retry-after', b'0.50') in write_refusal(503, 500)
     assert all(name != b'retry-after' for name, _ in write_refusal(502, 500))
 
@@ -179,7 +179,7 @@
         ({'trafficSplit': [{'service': 's', 'weight': -1}]}, 'routes[0]'),
     ],
 )
-def test_weights_that_choose_nothing_are_refused(change, place) -> None:
+def test_weights_without_a_positive_sum_are_refused(change, place) -> None:
     document = make_configuration()
     document['routes'][0].update(change)
     with pytest.raises(BadDocumentError) as caught:
--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -1,7 +1,8 @@
-"""The store comes back from a copy that is some seconds old.
+"""The store is restored from a copy that is some seconds old.
 
-What was written since is gone, leases too; revisions and numbers of leases are
-given out again. Operators and upstreams write again what they wrote.
+Writes since the copy are lost, leases too; revisions and lease ids are assigned
+again. Operators and upstreams write their values again. Guards against state of
+the earlier era that is taken for state of the new one, and the reverse.
 """
 
 from random import Random
@@ -48,7 +49,7 @@
 )
 from tests.test_fleet import make_entry, make_fleet
 
-#: Identity of a request that ends upstreams.
+#: Identity of a request that crashes upstreams.
 ONE = b'1' * 16
 
 
@@ -63,11 +64,13 @@
         < encode_revision(10**12, 1)
         < encode_revision(1, 2)
     )
-    placed = encode_revision(123, 3)
-    assert (decode_era(placed), decode_revision(placed)) == (3, 123)
+    encoded = encode_revision(123, 3)
+    assert (decode_era(encoded), decode_revision(encoded)) == (3, 123)
 
 
-async def test_watch_from_before_is_over_though_the_number_is_known() -> None:
+async def test_watch_from_an_earlier_era_ends_even_at_a_known_revision() -> (
+    None
+):
     async with open_platform(instances=0) as stage:
         store = open_store(stage)
         copy = stage.store.state.copy()
@@ -78,7 +81,7 @@
             stage.store.put(f'op/other-{number}', {})
         after = listing.store_revision
         assert stage.store.state.revision >= after
-        # The first is asked and refused, the second is not even asked.
+        # The store refuses the first; the second is not sent to it.
         for _ in range(2):
             assert await store.watch('', after, 50) == Failure(HistoryLost())
         again = (await store.fetch('')).unwrap()
@@ -89,7 +92,7 @@
         assert [each.key for each in changed.changes] == ['op/last']
 
 
-async def test_a_watch_that_was_held_meanwhile_is_over_too() -> None:
+async def test_a_watch_held_during_the_restore_ends_too() -> None:
     async with open_platform(instances=0) as stage:
         store = open_store(stage)
         copy = stage.store.state.copy()
@@ -107,7 +110,7 @@
         assert answers == [Failure(HistoryLost())]
 
 
-async def test_a_lease_from_before_may_be_of_another() -> None:
+async def test_a_lease_of_an_earlier_era_counts_as_lost() -> None:
     async with open_platform(instances=0) as stage:
         store, other = open_store(stage), open_store(stage)
         copy = stage.store.state.copy()
@@ -115,12 +118,12 @@
         stage.store.restore(copy)
         assert (await other.grant(9000)).unwrap() == lease
         assert await store.keep_alive(lease) == Failure(LeaseLost(lease))
-        # Not ended either: it is the other's.
+        # It isn't revoked either: its id now belongs to the other client.
         assert await store.revoke(lease) == Failure(LeaseLost(lease))
         assert isinstance(await other.keep_alive(lease), Success)
 
 
-async def test_a_condition_on_a_revision_from_before_does_not_hold() -> None:
+async def test_a_condition_on_an_earlier_era_does_not_hold() -> None:
     async with open_platform(instances=0) as stage:
         store = open_store(stage)
         copy = stage.store.state.copy()
@@ -142,7 +145,8 @@
         stage.store.put('op/config', make_configuration(2))
         await stage.settle(2)
         stage.store.restore(copy)
-        # One that starts now reads the older one, and hears of the newer.
+        # An instance that starts now reads the older configuration from the
+        # store, and receives the newer one from its peers.
         late = stage.add_instance()
         with trio.fail_after(2):
             await stage.settle(2)
@@ -156,7 +160,7 @@
             await stage.settle(3)
 
 
-async def test_instances_list_themselves_and_keep_their_key_again() -> None:
+async def test_instances_register_again_and_restore_their_key() -> None:
     async with open_platform(instances=2) as stage:
         state = stage.store.state
         await until(lambda: state.find(KEY_NAME) is not None)
@@ -179,8 +183,8 @@
         assert {runtime.peers.key for runtime in stage.runtimes} == {key}
 
 
-async def test_a_departure_from_before_holds_on() -> None:
-    """Its entry is back as it was, and nothing tells whether it lives."""
+async def test_a_departure_before_the_restore_stays_in_force() -> None:
+    """Its entry is restored, which doesn't show whether it is alive."""
     async with open_platform(plains=2) as stage:
         fleet = stage.runtimes[0].fleet
         copy = stage.store.state.copy()
@@ -198,12 +202,12 @@
                 )
                 assert answer.status_code == 200
         assert len(stage.plains[0].arrivals) == before
-        # It still has an entry when all that live have written again.
+        # It still has an entry once all live upstreams have written again.
         with trio.fail_after(6):
             await until(lambda: not is_leaving(fleet.state, 'plain-0'))
 
 
-async def test_one_whose_entry_is_lost_is_used_until_it_has_written_again() -> (
+async def test_upstream_with_a_lost_entry_is_used_until_it_writes_again() -> (
     None
 ):
     async with open_platform(plains=1) as stage:
@@ -228,7 +232,7 @@
 
 
 async def test_quarantined_requests_are_written_again(autojump_clock) -> None:
-    """By who wrote them; others would write the same."""
+    """The instance that wrote them does; others would write the same."""
     clock = SystemClock()
     store = FakeStore(Random(1))
     quarantine = Quarantine(clock, lambda: None)
@@ -248,8 +252,8 @@
         nursery.cancel_scope.cancel()
 
 
-async def test_a_second_listing_meanwhile_proves_nothing_yet() -> None:
-    """The store forgets its history too, so that all is read again at once."""
+async def test_a_second_listing_soon_after_does_not_end_an_evacuation() -> None:
+    """The store loses its history too, so that all keys are listed at once."""
     async with open_platform(instances=1) as stage:
         fleet = stage.runtimes[0].fleet
         copy = stage.store.state.copy()
@@ -265,25 +269,25 @@
             await until(lambda: not fleet.list_evacuated())
 
 
-def test_evacuations_hold_until_they_are_known_to_be_over() -> None:
+def test_evacuations_hold_until_their_end_is_known() -> None:
     state = make_fleet('a')
-    told = EvacuationsReceived((Evacuation('west', 50),))
-    state, _ = decide(state, told, 10)
+    received = EvacuationsReceived((Evacuation('west', 50),))
+    state, _ = decide(state, received, 10)
     restored = EvacuationsListed((), encode_revision(20, 1), restored=True)
     state, actions = decide(state, restored, 20)
     assert not actions
-    # Written again, with a number that is smaller than before.
+    # Written again, with a smaller revision of the store than before.
     again = EvacuationsReceived((Evacuation('west', encode_revision(21, 1)),))
     state, actions = decide(state, again, 30)
     assert not actions
     ended = Evacuation('west', encode_revision(22, 1), active=False)
     state, _ = decide(state, EvacuationsReceived((ended,)), 40)
     assert not state.evacuation_status_by_domain['west'].active
-    # A peer that has not heard of the new era tells what was before.
-    assert decide(state, told, 50)[0] == state
+    # A peer that doesn't know the new era yet reports the earlier state.
+    assert decide(state, received, 50)[0] == state
 
 
-def test_an_evacuation_that_nobody_writes_again_ends() -> None:
+def test_an_evacuation_that_is_not_written_again_ends() -> None:
     state, _ = decide(
         make_fleet('a'), EvacuationsReceived((Evacuation('west', 50),)), 10
     )
@@ -292,14 +296,14 @@
     assert not state.evacuation_status_by_domain['west'].active
 
 
-def test_who_left_is_not_back_by_a_listing_of_the_older_copy() -> None:
+def test_a_restored_listing_does_not_bring_back_an_upstream_that_left() -> None:
     state, _ = decide(make_fleet('a', 'b'), EntryRemoved('a'), 5)
     entries = (make_entry('a'), make_entry('b'))
     older = EntriesListed(entries, after_outage=True, restored=True)
     state, actions = decide(state, older, 10)
     assert not actions
     assert is_leaving(state, 'a')
-    # A word of its own in the new era brings it back at once.
+    # An entry that it writes in the new era brings it back at once.
     back, _ = decide(state, EntryWritten(make_entry('a')), 20)
     assert not is_leaving(back, 'a')
     listed, _ = decide(state, EntriesListed(entries), 5000)
