--- a/tests/load/test_leaving_wave.py
+++ b/tests/load/test_leaving_wave.py
@@ -26,7 +26,8 @@
 #: 55 MB per generation over 2.7 Gbit/s.
 ENGINE = EngineSpec(24, 34000, 18432, 2700.0, 4, moves=True, backups=True)
 SOURCE = UpstreamEntry('a', 's', 'a:1', 'west', 24)
-#: Time left when the notice is noticed without the store, in milliseconds.
+#: Time left when the notice is seen while the store is unreachable, in
+#: milliseconds.
 LEAVES_IN = 1100
 REPORT_LAG = 500
 DRAFTS = 4
