--- a/src/cartdale/routing/decide.py
+++ b/src/cartdale/routing/decide.py
@@ -9,16 +9,16 @@
 from cartdale.problems.types import NotRun, NotRunReason
 from cartdale.routing.policy import (
     choose_baseline,
-    choose_fitting,
+    choose_memory_aware,
+    forecast_candidates,
     list_candidates,
-    make_candidates,
 )
 from cartdale.routing.queue import (
     estimate_wait,
-    list_hopeless,
-    note_drain,
+    list_missed_deadlines,
     order_waiting,
-    without,
+    remove_work,
+    update_drain_rate,
 )
 from cartdale.routing.types import (
     Action,
@@ -43,48 +43,50 @@
 )
 from cartdale.routing.views import (
     merge_targets,
-    note_failure,
     receive_load_report,
+    record_failure,
 )
 
-#: Queued work looked at in one decision; bounds its cost.
+#: Queued requests of a service tried per decision; bounds its cost.
 _LOOKAHEAD = 4
-_PREFIXES_KEPT = 64
+_MAX_CACHED_PREFIXES = 64
 _NO_UPSTREAM_RETRY: Millis = 2000
 
 
 def decide(state: RoutingState, message: Message, now: Millis) -> Decision:
-    """Take one message.
+    """Apply one message to the routing state.
 
     :param now: monotonic milliseconds.
-    :returns: the next state, and what to place, refuse or protect.
+    :returns: the next state, and the work to place or refuse.
     """
     match message:
         case WorkArrived(work=work):
-            return _arrive(state, work, now)
+            return _admit(state, work, now)
         case WorkEnded():
-            return _place_waiting(_end(state, message), now)
+            return _place_waiting(_finish_work(state, message), now)
         case WorkAbandoned(work_id=work_id):
-            return replace(state, waiting=without(state.waiting, work_id)), ()
+            return replace(
+                state, waiting=remove_work(state.waiting, work_id)
+            ), ()
         case LoadReportReceived(upstream=upstream, report=report):
             return _place_waiting(
                 receive_load_report(state, upstream, report, now), now
             )
         case UpstreamFailed(upstream=upstream):
-            return note_failure(state, upstream, now), ()
+            return record_failure(state, upstream, now), ()
         case TargetsChanged():
             return _place_waiting(merge_targets(state, message), now)
         case EntryGone(entry=entry):
-            return _orphan(state, entry), ()
+            return _mark_orphaned(state, entry), ()
         case LeaveBegan():
-            return _leave(state)
+            return _begin_leaving(state)
         case Tick():
             return _tick(state, now)
         case _:
             assert_never(message)
 
 
-def _arrive(state: RoutingState, work: Work, now: Millis) -> Decision:
+def _admit(state: RoutingState, work: Work, now: Millis) -> Decision:
     if state.leaving:
         refusal = NotRun(NotRunReason.LEAVING, 0)
         return state, (Refuse(work, refusal),)
@@ -113,19 +115,19 @@
 
 
 def _tick(state: RoutingState, now: Millis) -> Decision:
-    drained = note_drain(state, 0, now)
+    drained = update_drain_rate(state, 0, now)
     placed, actions = _place_waiting(drained, now)
     refusals: list[Action] = []
     waiting = placed.waiting
-    for work in list_hopeless(placed, now):
-        waiting = without(waiting, work.work_id)
+    for work in list_missed_deadlines(placed, now):
+        waiting = remove_work(waiting, work.work_id)
         wait = estimate_wait(placed, len(waiting))
         refusal = NotRun(NotRunReason.DEADLINE, wait)
         refusals.append(Refuse(work, refusal))
     return replace(placed, waiting=waiting), (*actions, *refusals)
 
 
-def _leave(state: RoutingState) -> Decision:
+def _begin_leaving(state: RoutingState) -> Decision:
     refusal = NotRun(NotRunReason.LEAVING, 0)
     refusals = tuple(Refuse(work, refusal) for work in state.waiting)
     return replace(state, waiting=(), leaving=True), refusals
@@ -134,7 +136,7 @@
 def _place_waiting(state: RoutingState, now: Millis) -> Decision:
     actions: list[Action] = []
     blocked: set[str] = set()
-    looked = 0
+    attempted = 0
     for work in order_waiting(state, now):
         if work.service in blocked:
             continue
@@ -146,8 +148,8 @@
             state = _place(state, work, upstream, now)
             actions.append(Place(work, upstream))
             continue
-        looked += 1
-        if looked >= _LOOKAHEAD:
+        attempted += 1
+        if attempted >= _LOOKAHEAD:
             blocked.add(work.service)
     return state, tuple(actions)
 
@@ -160,8 +162,8 @@
         return None
     if service.policy is not PolicyName.MEMORY_AWARE:
         return choose_baseline(state, service.policy, views)
-    candidates = make_candidates(state, views, now)
-    return choose_fitting(candidates, work, service.weights, state.lengths)
+    candidates = forecast_candidates(state, views, now)
+    return choose_memory_aware(candidates, work, service.weights, state.lengths)
 
 
 def _place(
@@ -174,31 +176,31 @@
     )
     view = state.engines_by_upstream[upstream]
     engines_by_upstream = dict(state.engines_by_upstream)
-    engines_by_upstream[upstream] = _note_placement(view, work)
+    engines_by_upstream[upstream] = _record_placement(view, work)
     placements_by_work = dict(state.placements_by_work)
     placements_by_work[work.work_id] = Placement(work, upstream, now)
     served_by_customer = dict(state.served_by_customer)
     served = served_by_customer.get(work.customer, 0)
     served_by_customer[work.customer] = served + 1 / work.share
     return replace(
-        note_drain(state, 1, now),
+        update_drain_rate(state, 1, now),
         engines_by_upstream=engines_by_upstream,
         placements_by_work=placements_by_work,
         served_by_customer=served_by_customer,
-        waiting=without(state.waiting, work.work_id),
+        waiting=remove_work(state.waiting, work.work_id),
         draws=state.draws + 1,
     )
 
 
-def _note_placement(view: EngineView, work: Work) -> EngineView:
+def _record_placement(view: EngineView, work: Work) -> EngineView:
     prefixes = view.prefixes
     if work.prefix:
         others = tuple(known for known in prefixes if known != work.prefix)
-        prefixes = (*others, work.prefix)[-_PREFIXES_KEPT:]
+        prefixes = (*others, work.prefix)[-_MAX_CACHED_PREFIXES:]
     return replace(view, own_accepted=view.own_accepted + 1, prefixes=prefixes)
 
 
-def _orphan(state: RoutingState, entry: str) -> RoutingState:
+def _mark_orphaned(state: RoutingState, entry: str) -> RoutingState:
     placements_by_work = {
         work_id: replace(
             placement,
@@ -209,7 +211,7 @@
     return replace(state, placements_by_work=placements_by_work)
 
 
-def _end(state: RoutingState, ended: WorkEnded) -> RoutingState:
+def _finish_work(state: RoutingState, ended: WorkEnded) -> RoutingState:
     placements_by_work = dict(state.placements_by_work)
     placement = placements_by_work.pop(ended.work_id, None)
     if placement is None:
--- a/src/cartdale/routing/driver.py
+++ b/src/cartdale/routing/driver.py
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True)
 class _Waiter:
-    """Let one request wait for its decision."""
+    """Routing decision that one request waits for."""
 
     decided: trio.Event = field(default_factory=trio.Event)
     outcome: Placed | None = None
@@ -41,14 +41,14 @@
         self.state = RoutingState(seed=seed)
 
     def dispatch(self, message: Message) -> None:
-        """Take a message and carry out what is decided."""
+        """Apply a message and carry out the resulting actions."""
         after, actions = decide(self.state, message, self._clock.now())
         self.state = after
         for action in actions:
             self._carry_out(action)
 
     async def place(self, work: Work) -> Placed:
-        """Wait until work may run, and return its upstream."""
+        """Wait until work may run, and return its upstream or a refusal."""
         waiter = _Waiter()
         self._waiters_by_work[work.work_id] = waiter
         self.dispatch(WorkArrived(work))
--- a/src/cartdale/routing/lengths.py
+++ b/src/cartdale/routing/lengths.py
@@ -9,27 +9,28 @@
 from dataclasses import dataclass, field, replace
 from functools import cache
 
-WINDOW = 512
-#: Fewer observations than this fall back to the service's profile.
-ENOUGH = 24
-#: Further tokens of every running generation at which memory is foreseen.
+WINDOW_SIZE = 512
+#: Shapes with fewer observations fall back to the service's profile.
+MIN_OBSERVATIONS = 24
+#: Memory is forecast for these numbers of further tokens per generation.
 HORIZONS = (0, 32, 128, 384, 1024, 3072)
-AGE_STEP = 16
-_REFRESH = 8
-_PRIOR = (16, 32, 64, 96, 128, 192, 256, 384, 512, 1024, 2048, 4096)
+AGE_STEP_TOKENS = 16
+_REFRESH_INTERVAL = 8
+_PRIOR_LENGTHS = (16, 32, 64, 96, 128, 192, 256, 384, 512, 1024, 2048, 4096)
 
 
 @dataclass(frozen=True, slots=True)
 class LengthProfile:
-    """Hold observed output lengths of one shape, in tokens.
+    """Observed output lengths of one shape, in tokens.
 
     :param recent: the last observations, oldest first.
     :param ordered: the same, sorted, as of the last refresh.
-    :param rows_by_bucket: survivals already worked out from ``ordered``.
+    :param unsorted: observations since the last refresh.
+    :param rows_by_bucket: cached survivals, computed from ``ordered``.
     """
 
     recent: tuple[int, ...] = ()
-    ordered: tuple[int, ...] = _PRIOR
+    ordered: tuple[int, ...] = _PRIOR_LENGTHS
     unsorted: int = 0
     rows_by_bucket: dict[int, tuple[float, ...]] = field(
         default_factory=dict, compare=False, repr=False
@@ -37,15 +38,19 @@
 
     def observe(self, length: int) -> 'LengthProfile':
         """Return the profile with one more observation."""
-        recent = (*self.recent, length)[-WINDOW:]
+        recent = (*self.recent, length)[-WINDOW_SIZE:]
         unsorted = self.unsorted + 1
-        if unsorted < _REFRESH and self.recent:
+        if unsorted < _REFRESH_INTERVAL and self.recent:
             return replace(self, recent=recent, unsorted=unsorted)
-        known = recent if len(recent) >= ENOUGH else (*recent, *_PRIOR)
+        known = (
+            recent
+            if len(recent) >= MIN_OBSERVATIONS
+            else (*recent, *_PRIOR_LENGTHS)
+        )
         return LengthProfile(recent, tuple(sorted(known)), 0)
 
     def survival(self, produced: int, more: int) -> float:
-        """Return the chance that output goes on past ``produced + more``.
+        """Return the probability of output past ``produced + more``.
 
         :param produced: tokens produced so far.
         :param more: further tokens.
@@ -53,20 +58,20 @@
         total = len(self.ordered)
         alive = total - bisect_right(self.ordered, produced)
         if not alive:
-            # Beyond everything seen: as long again, by a power law.
+            # Beyond all observations, extrapolate with a power law.
             return produced / (produced + more) if produced else 0
         later = total - bisect_right(self.ordered, produced + more)
         return later / alive
 
     def survivals(self, produced: int) -> tuple[float, ...]:
-        """Return the survival at each of ``HORIZONS``, kept for reuse.
+        """Return the survival at each of ``HORIZONS``, cached.
 
-        Ages are taken in steps of ``AGE_STEP`` tokens.
+        ``produced`` is rounded down to a multiple of ``AGE_STEP_TOKENS``.
         """
-        bucket = produced // AGE_STEP
+        bucket = produced // AGE_STEP_TOKENS
         row = self.rows_by_bucket.get(bucket)
         if row is None:
-            age = bucket * AGE_STEP
+            age = bucket * AGE_STEP_TOKENS
             row = tuple(
                 self.survival(age, horizon) if horizon else float(1)
                 for horizon in HORIZONS
@@ -81,31 +86,31 @@
 
 @dataclass(frozen=True, slots=True)
 class LengthStatistics:
-    """Hold a profile for every shape; a shape is ``service/detail``."""
+    """Length profiles by shape; a shape is ``service/detail``."""
 
     profiles_by_shape: dict[str, LengthProfile] = field(default_factory=dict)
 
     def observe(self, shape: str, length: int) -> 'LengthStatistics':
-        """Return the book after a generation ended."""
+        """Return the statistics after a generation ended."""
         after = dict(self.profiles_by_shape)
-        for key in dict.fromkeys((shape, general_shape(shape))):
+        for key in dict.fromkeys((shape, service_shape(shape))):
             after[key] = after.get(key, LengthProfile()).observe(length)
         return LengthStatistics(after)
 
     def find(self, shape: str) -> LengthProfile:
-        """Return the narrowest profile with enough observations."""
+        """Return the most specific profile with enough observations."""
         narrow = self.profiles_by_shape.get(shape)
-        if narrow is not None and len(narrow.recent) >= ENOUGH:
+        if narrow is not None and len(narrow.recent) >= MIN_OBSERVATIONS:
             return narrow
-        wide = self.profiles_by_shape.get(general_shape(shape))
+        wide = self.profiles_by_shape.get(service_shape(shape))
         return wide or _DEFAULT
 
 
 _DEFAULT = LengthProfile()
 
 
-def general_shape(shape: str) -> str:
-    """Return the service's own shape."""
+def service_shape(shape: str) -> str:
+    """Return the shape that covers the whole service."""
     return shape.partition('/')[0]
 
 
--- a/src/cartdale/routing/policy.py
+++ b/src/cartdale/routing/policy.py
@@ -24,20 +24,21 @@
 
 #: Share of an engine's memory that placements may fill.
 MEMORY_SHARE = 0.97
-#: Standard deviations kept free, for weights of zero and per weight.
-_CAUTION_BASE = 0.5
-_CAUTION_STALL = 1.2
-_CAUTION_PREEMPTIONS = 2
-#: Worth of a cached prefix, as a share of load for each 1,000 tokens.
-_PREFIX_WORTH = 0.15
-_KILO = 1000
+#: Safety margin in standard deviations of memory: the base for weights of
+#: zero, and the additions per unit of weight.
+_MARGIN_BASE = 0.5
+_MARGIN_PER_STALL_WEIGHT = 1.2
+_MARGIN_PER_PREEMPTION_WEIGHT = 2
+#: Score credit of a cached prefix, as a share of load per 1,000 tokens.
+_PREFIX_CREDIT = 0.15
+_PREFIX_UNIT_TOKENS = 1000
 #: Step time at which the tail-time weight costs one unit of score.
 _STEP_SCALE_MS = 100
 
 
 @dataclass(frozen=True, slots=True)
 class EngineCandidate:
-    """Pair an engine with its forecast."""
+    """An engine and its memory forecast."""
 
     view: EngineView
     forecast: Forecast
@@ -45,9 +46,10 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class _Choice:
-    """Rank an engine; the smallest score is the best.
+    """Score of an engine; the smallest score is the best.
 
-    :param filled: share of memory that may be promised, after the work.
+    :param filled: used share of the memory available to placements, with
+        the work added.
     """
 
     score: float
@@ -55,16 +57,16 @@
     filled: float
 
 
-def caution_of(weights: Weights) -> float:
-    """Return how many standard deviations of memory to keep free.
+def compute_memory_margin(weights: Weights) -> float:
+    """Return the safety margin in standard deviations of memory.
 
-    A preemption costs a stall too, so both weights add caution; the
-    weight on preemptions adds more, paid by waiting before the start.
+    A preemption causes a stall too, so both weights add to the margin. The
+    preemption weight adds more, at the cost of waiting before the start.
     """
     return (
-        _CAUTION_BASE
-        + _CAUTION_STALL * weights.stall_time
-        + _CAUTION_PREEMPTIONS * weights.preemptions
+        _MARGIN_BASE
+        + _MARGIN_PER_STALL_WEIGHT * weights.stall_time
+        + _MARGIN_PER_PREEMPTION_WEIGHT * weights.preemptions
     )
 
 
@@ -90,7 +92,7 @@
     return candidates
 
 
-def make_candidates(
+def forecast_candidates(
     state: RoutingState, views: list[EngineView], now: Millis
 ) -> list[EngineCandidate]:
     """Forecast each engine once."""
@@ -113,23 +115,23 @@
     ]
 
 
-def choose_fitting(
+def choose_memory_aware(
     candidates: list[EngineCandidate],
     work: Work,
     weights: Weights,
     lengths: LengthStatistics,
 ) -> str | None:
-    """Return the best engine whose memory holds the work, if any."""
+    """Return the best engine with enough memory for the work, if any."""
     added = forecast_work(work, lengths)
-    caution = caution_of(weights)
+    deviations = compute_memory_margin(weights)
     best: _Choice | None = None
     for candidate in candidates:
         memory = candidate.view.memory_tokens * MEMORY_SHARE
-        filled = candidate.forecast.add(added).peak(caution) / memory
+        filled = candidate.forecast.add(added).peak(deviations) / memory
         if not _fits(filled):
             continue
         score = filled + _step_cost(candidate.view, weights)
-        score -= _prefix_gain(candidate.view, work)
+        score -= _prefix_credit(candidate.view, work)
         choice = _Choice(score, candidate.view.upstream, filled)
         best = min(best or choice, choice)
     if best is None:
@@ -149,7 +151,9 @@
 def choose_baseline(
     state: RoutingState, name: PolicyName, views: list[EngineView]
 ) -> str:
-    """Return the engine that a baseline policy takes, without holding back.
+    """Return the engine that a baseline policy chooses.
+
+    Baselines ignore memory and never leave work in the queue.
 
     :param views: at least one engine.
     """
@@ -194,7 +198,7 @@
     return weights.tail_time * view.report.step_ms / _STEP_SCALE_MS
 
 
-def _prefix_gain(view: EngineView, work: Work) -> float:
+def _prefix_credit(view: EngineView, work: Work) -> float:
     if not work.prefix or work.prefix not in view.prefixes:
         return 0
-    return _PREFIX_WORTH * work.prefix_tokens / _KILO
+    return _PREFIX_CREDIT * work.prefix_tokens / _PREFIX_UNIT_TOKENS
--- a/src/cartdale/routing/queue.py
+++ b/src/cartdale/routing/queue.py
@@ -8,18 +8,18 @@
 from cartdale.routing.types import RoutingState, Work
 
 _SMOOTHING_MS = 5 * SECOND_MS
-#: Waiting this long counts as one step of priority, so nobody starves.
+#: Waiting time that raises priority by one step; prevents starvation.
 _AGING_MS: Millis = 5 * SECOND_MS
-_LONGEST_WAIT: Millis = 5 * MINUTE_MS
-#: Slowest drain assumed before anything was learned, work per millisecond.
-_LEAST_DRAIN = 1 / (10 * SECOND_MS)
+_MAX_WAIT: Millis = 5 * MINUTE_MS
+#: Lower bound of the drain rate, used before any placement was observed.
+_MIN_DRAIN_PER_MS = 1 / (10 * SECOND_MS)
 
 
 def order_waiting(state: RoutingState, now: Millis) -> tuple[Work, ...]:
-    """Return queued work, the next to be placed first.
+    """Return queued work in the order of placement.
 
-    Priority with age goes first, then the customer who received least
-    for its share, then the older request.
+    Orders by priority raised with age, then by the customer that received
+    the least service for its share, then by arrival.
     """
     if len(state.waiting) < 2:
         return state.waiting
@@ -31,35 +31,37 @@
 
 
 def estimate_wait(state: RoutingState, ahead: int) -> Millis:
-    """Foresee how long work behind ``ahead`` others waits."""
+    """Estimate the wait of work with ``ahead`` requests before it."""
     if not ahead:
         return 0
-    rate = max(state.drain_per_ms, _LEAST_DRAIN)
-    return min(_LONGEST_WAIT, int(ahead / rate))
+    rate = max(state.drain_per_ms, _MIN_DRAIN_PER_MS)
+    return min(_MAX_WAIT, int(ahead / rate))
 
 
-def note_drain(state: RoutingState, placed: int, now: Millis) -> RoutingState:
-    """Learn how fast the queue drains.
+def update_drain_rate(
+    state: RoutingState, placed: int, now: Millis
+) -> RoutingState:
+    """Update the estimate of the queue's drain rate.
 
-    :param placed: work placed at this moment.
+    :param placed: number of requests placed at ``now``.
     """
     elapsed = max(0, now - state.drained_at)
-    kept = math.exp(-elapsed / _SMOOTHING_MS)
-    rate = state.drain_per_ms * kept + placed / _SMOOTHING_MS
+    decay = math.exp(-elapsed / _SMOOTHING_MS)
+    rate = state.drain_per_ms * decay + placed / _SMOOTHING_MS
     if not placed and not state.waiting:
-        # An empty queue says nothing about how fast it could drain.
+        # An empty queue gives no information about the drain rate.
         rate = state.drain_per_ms
     return replace(state, drain_per_ms=rate, drained_at=now)
 
 
-def list_hopeless(state: RoutingState, now: Millis) -> Iterator[Work]:
+def list_missed_deadlines(state: RoutingState, now: Millis) -> Iterator[Work]:
     """Yield queued work whose deadline will pass before its turn."""
     for ahead, work in enumerate(order_waiting(state, now)):
         if now + estimate_wait(state, ahead) > work.deadline_at:
             yield work
 
 
-def without(waiting: tuple[Work, ...], work_id: str) -> tuple[Work, ...]:
+def remove_work(waiting: tuple[Work, ...], work_id: str) -> tuple[Work, ...]:
     """Return the queue without one request."""
     return tuple(work for work in waiting if work.work_id != work_id)
 
--- a/src/cartdale/routing/types.py
+++ b/src/cartdale/routing/types.py
@@ -11,16 +11,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Work:
-    """Describe a request that needs an engine.
+    """A request that needs an engine.
 
     :param work_id: generation id.
-    :param shape: key under which output lengths are learned.
-    :param prefix: digest of the prompt's start.
-    :param prefix_tokens: length of that start, in tokens.
+    :param shape: key of the output length statistics.
+    :param prefix: digest of the prompt's prefix.
+    :param prefix_tokens: length of that prefix, in tokens.
     :param deadline_at: latest start, in monotonic milliseconds.
-    :param avoid: upstreams that failed it already.
-    :param entry: instance that delivers the answer.
-    :param within: upstreams of the cell it was sent to; empty for all.
+    :param avoid: upstreams to exclude, such as those it already failed on.
+    :param entry: instance that delivers the response.
+    :param within: upstreams of its placement group; empty for all.
     """
 
     work_id: str
@@ -41,10 +41,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Placement:
-    """Remember work that this instance placed.
+    """Work that this instance placed.
 
     :param orphaned: whether the instance that delivers it is gone, so that
-        nobody may report its end.
+        its end may never be reported.
     """
 
     work: Work
@@ -55,14 +55,16 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineView:
-    """Hold what this instance knows of an engine.
+    """State of an engine as known to this instance.
 
-    :param report: last report, older than it looks by the engine's lag.
+    :param report: last report; its content lags behind ``received_at``.
     :param received_at: when the report arrived.
-    :param foreign_per_ms: jobs that others place, learned from reports.
-    :param own_accepted: jobs placed here before the last report.
-    :param excluded_until: no new work before, after failures.
-    :param prefixes: prefixes believed to be cached, oldest first.
+    :param foreign_per_ms: rate of requests placed by other instances,
+        estimated from reports.
+    :param own_accepted: requests that this instance placed.
+    :param own_accepted_at_report: ``own_accepted`` at the last report.
+    :param excluded_until: gets no new work before this time, after failures.
+    :param prefixes: prefixes assumed to be cached, oldest first.
     """
 
     upstream: str
@@ -72,7 +74,7 @@
     received_at: Millis = 0
     foreign_per_ms: float = 0
     own_accepted: int = 0
-    own_at_report: int = 0
+    own_accepted_at_report: int = 0
     failures: int = 0
     excluded_until: Millis = 0
     prefixes: tuple[str, ...] = ()
@@ -80,7 +82,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceView:
-    """Hold what routing needs of a declared service."""
+    """The part of a declared service that routing uses.
+
+    :param queue: maximum number of queued requests.
+    """
 
     name: str
     upstreams: tuple[str, ...]
@@ -91,12 +96,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutingState:
-    """Hold everything that routing decides from.
+    """State of the routing state machine.
 
     :param waiting: queued work, in order of arrival.
-    :param served_by_customer: work placed, divided by the share.
-    :param drain_per_ms: work placed in a millisecond, smoothed.
-    :param draws: how many random numbers were used; seeds the next.
+    :param served_by_customer: number of requests placed, divided by the
+        customer's share.
+    :param drain_per_ms: requests placed per millisecond, smoothed.
+    :param draws: number of placements; seeds the next random choice.
     """
 
     seed: int
@@ -114,14 +120,14 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkArrived:
-    """A request needs an engine, for the first time or again."""
+    """A request needs an engine, for a first or a repeated run."""
 
     work: Work
 
 
 @dataclass(frozen=True, slots=True)
 class WorkEnded:
-    """Work left its engine.
+    """Work ended on its engine.
 
     :param finished: whether ``produced`` is the true output length.
     """
@@ -133,7 +139,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkAbandoned:
-    """The caller of queued work went away."""
+    """The caller of queued work disconnected."""
 
     work_id: str
 
@@ -155,7 +161,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetsChanged:
-    """A configuration came in force."""
+    """A configuration became active."""
 
     services: tuple[ServiceView, ...]
     engines: tuple[EngineView, ...]
@@ -163,14 +169,14 @@
 
 @dataclass(frozen=True, slots=True)
 class EntryGone:
-    """An instance is silent; nobody may report the end of its work."""
+    """An instance is silent; the end of its work may never be reported."""
 
     entry: str
 
 
 @dataclass(frozen=True, slots=True)
 class LeaveBegan:
-    """This instance takes no new work from now on."""
+    """This instance is leaving and accepts no new work."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -188,7 +194,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Answer the caller at once; the work did not run."""
+    """Refuse work immediately; it did not run."""
 
     work: Work
     problem: NotRun | Limited
--- a/src/cartdale/routing/views.py
+++ b/src/cartdale/routing/views.py
@@ -10,15 +10,15 @@
     TargetsChanged,
 )
 
-_FIRST_EXCLUSION: Millis = SECOND_MS
-_LONGEST_EXCLUSION: Millis = 30_000
+_INITIAL_EXCLUSION: Millis = SECOND_MS
+_MAX_EXCLUSION: Millis = 30_000
 _SMOOTHING = 0.3
 
 
 def receive_load_report(
     state: RoutingState, upstream: str, report: LoadReport, now: Millis
 ) -> RoutingState:
-    """Take a report; one that is older than the last is ignored."""
+    """Apply a report, unless it is not newer than the last one."""
     view = state.engines_by_upstream.get(upstream)
     if view is None:
         return state
@@ -30,8 +30,8 @@
             view,
             report=report,
             received_at=now,
-            foreign_per_ms=_learn_foreign(view, report),
-            own_at_report=view.own_accepted,
+            foreign_per_ms=_update_foreign_rate(view, report),
+            own_accepted_at_report=view.own_accepted,
             failures=0,
         ),
     )
@@ -40,7 +40,7 @@
 def _drop_ended_orphans(
     state: RoutingState, view: EngineView, report: LoadReport
 ) -> RoutingState:
-    """Forget orphans that the engine does not have any more."""
+    """Remove the oldest orphans that the engine no longer reports."""
     older = [
         (placement.placed_at, work_id)
         for work_id, placement in state.placements_by_work.items()
@@ -58,14 +58,17 @@
     return replace(state, placements_by_work=placements_by_work)
 
 
-def note_failure(
+def record_failure(
     state: RoutingState, upstream: str, now: Millis
 ) -> RoutingState:
-    """Exclude an engine, for longer each time until it reports again."""
+    """Exclude an engine temporarily.
+
+    The exclusion doubles with each failure until the next report.
+    """
     view = state.engines_by_upstream.get(upstream)
     if view is None:
         return state
-    pause = min(_LONGEST_EXCLUSION, _FIRST_EXCLUSION << min(view.failures, 8))
+    pause = min(_MAX_EXCLUSION, _INITIAL_EXCLUSION << min(view.failures, 8))
     return _update(
         state,
         replace(view, failures=view.failures + 1, excluded_until=now + pause),
@@ -73,7 +76,7 @@
 
 
 def merge_targets(state: RoutingState, targets: TargetsChanged) -> RoutingState:
-    """Take new services and engines; what was learned is kept."""
+    """Apply new services and engines; keep the state of known engines."""
     engines_by_upstream: dict[str, EngineView] = {}
     for engine in targets.engines:
         known = state.engines_by_upstream.get(engine.upstream, engine)
@@ -90,11 +93,11 @@
     )
 
 
-def _learn_foreign(view: EngineView, report: LoadReport) -> float:
+def _update_foreign_rate(view: EngineView, report: LoadReport) -> float:
     earlier = view.report
     if earlier is None:
         return 0
-    own = view.own_accepted - view.own_at_report
+    own = view.own_accepted - view.own_accepted_at_report
     foreign = max(0, report.accepted - earlier.accepted - own)
     seen = foreign / max(1, report.at - earlier.at)
     return view.foreign_per_ms * (1 - _SMOOTHING) + seen * _SMOOTHING
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -11,7 +11,7 @@
 from cartdale.routing import policy as routing_policy
 from cartdale.routing.decide import _place, decide
 from cartdale.routing.lengths import LengthProfile, LengthStatistics
-from cartdale.routing.policy import caution_of
+from cartdale.routing.policy import compute_memory_margin
 from cartdale.routing.types import (
     EngineView,
     EntryGone,
@@ -65,17 +65,17 @@
         state, actions = arrive(state, make_work(f'f{number}'), now=now)
         if not actions:
             return state, number
-    raise AssertionError('the engine never filled')
+    raise AssertionError('the engine never became full')
 
 
-def test_an_engine_is_filled_and_then_work_waits() -> None:
+def test_work_waits_when_the_engine_is_full() -> None:
     state, placed = fill(make_routing())
     assert 0 < placed < 20
     assert len(state.waiting) == 1
     assert len(state.placements_by_work) == placed
 
 
-def test_ended_work_makes_room() -> None:
+def test_ended_work_frees_capacity() -> None:
     state, _ = fill(make_routing())
     state, actions = decide(state, WorkEnded('f0', 50, finished=True), 100)
     assert [action.work.work_id for action in actions] == [
@@ -85,14 +85,18 @@
     assert not state.waiting
 
 
-def test_more_caution_promises_less() -> None:
-    kadi = Weights(1, 0.2, 0.5)
-    caroni = Weights(0.2, 1, 0.2)
-    assert caution_of(caroni) > caution_of(kadi)
-    assert caution_of(kadi) > caution_of(Weights(0, 0, 0))
+def test_weights_add_to_the_memory_margin() -> None:
+    stall_averse = Weights(1, 0.2, 0.5)
+    preemption_averse = Weights(0.2, 1, 0.2)
+    assert compute_memory_margin(preemption_averse) > compute_memory_margin(
+        stall_averse
+    )
+    assert compute_memory_margin(stall_averse) > compute_memory_margin(
+        Weights(0, 0, 0)
+    )
 
 
-def test_promising_beyond_memory_is_a_violation(
+def test_placing_beyond_memory_violates_an_invariant(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(routing_policy, '_fits', lambda filled: True)
@@ -100,7 +104,7 @@
         fill(make_routing())
 
 
-def test_baselines_never_hold_back() -> None:
+def test_baselines_never_queue() -> None:
     for name in PolicyName:
         if name is PolicyName.MEMORY_AWARE:
             continue
@@ -110,7 +114,7 @@
         assert len(actions) == 60, name
 
 
-def test_a_full_queue_refuses_at_once() -> None:
+def test_a_full_queue_refuses_immediately() -> None:
     state = make_routing(memory=10, queue=2)
     works = [make_work(f'w{number}') for number in range(3)]
     _, actions = arrive(state, *works)
@@ -118,7 +122,7 @@
     assert actions[0].problem.retry_after > 0
 
 
-def test_hopeless_work_is_refused_before_its_deadline() -> None:
+def test_work_that_would_miss_its_deadline_is_refused_early() -> None:
     state = make_routing(memory=10)
     works = [make_work(f'w{number}', deadline_at=25_000) for number in range(4)]
     state, actions = arrive(state, *works)
@@ -129,7 +133,7 @@
     assert {action.work.work_id for action in actions} == {'w1', 'w2'}
 
 
-def test_nobody_starves() -> None:
+def test_low_priority_work_does_not_starve() -> None:
     state = make_routing(memory=1)
     old = make_work('old', deadline_at=10**9)
     state, _ = arrive(state, old)
@@ -137,14 +141,14 @@
         'young', priority=50, arrived_at=400_000, deadline_at=10**9
     )
     state, _ = arrive(state, young, now=400_000)
-    roomy = TargetsChanged(
+    larger_engine = TargetsChanged(
         tuple(state.services_by_name.values()), (EngineView('e0', 4000),)
     )
-    state, actions = decide(state, roomy, 400_001)
+    state, actions = decide(state, larger_engine, 400_001)
     assert actions[0].work.work_id == 'old'
 
 
-def test_shares_decide_between_customers() -> None:
+def test_customer_shares_order_the_queue() -> None:
     state = make_routing(memory=10)
     works = [
         make_work(name, customer=name[0], deadline_at=10**9)
@@ -152,10 +156,10 @@
     ]
     state = replace(state, served_by_customer={'a': 5.0, 'b': 1.0})
     state, _ = arrive(state, *works)
-    roomy = TargetsChanged(
+    larger_engine = TargetsChanged(
         tuple(state.services_by_name.values()), (EngineView('e0', 4000),)
     )
-    _, actions = decide(state, roomy, 1)
+    _, actions = decide(state, larger_engine, 1)
     assert actions[0].work.work_id == 'b0'
 
 
@@ -195,7 +199,7 @@
     assert state.engines_by_upstream['e0'].received_at == 100
 
 
-def test_a_leaving_placer_hands_its_queue_back() -> None:
+def test_a_leaving_placer_refuses_its_queue() -> None:
     state = make_routing(memory=10)
     state, _ = arrive(state, make_work('w'))
     state, actions = decide(state, LeaveBegan(), 0)
@@ -204,7 +208,7 @@
     assert actions[0].problem.reason is NotRunReason.LEAVING
 
 
-def test_placing_while_leaving_is_a_violation() -> None:
+def test_placing_while_leaving_violates_an_invariant() -> None:
     state = replace(make_routing(), leaving=True)
     with pytest.raises(InvariantError, match='no_work_when_leaving'):
         _place(state, make_work('w'), 'e0', 0)
@@ -216,7 +220,9 @@
     assert not state.waiting
 
 
-def test_work_of_a_lost_instance_is_forgotten_when_the_engine_lost_it() -> None:
+def test_orphaned_work_is_dropped_when_the_engine_no_longer_reports_it() -> (
+    None
+):
     state = make_routing(memory=100_000)
     state, _ = arrive(state, make_work('w', entry='gone'))
     state, _ = decide(state, EntryGone('gone'), 10)
@@ -227,7 +233,7 @@
     assert not state.placements_by_work
 
 
-def test_lengths_are_conditional_on_age() -> None:
+def test_survival_depends_on_produced_tokens() -> None:
     profile = LengthProfile()
     for length in [10] * 90 + [5000] * 10:
         profile = profile.observe(length)
@@ -237,7 +243,7 @@
 
 
 def test_a_new_shape_falls_back_to_its_service() -> None:
-    book = LengthStatistics()
+    statistics = LengthStatistics()
     for _ in range(40):
-        book = book.observe('s/5', 77)
-    assert book.find('s/9').ordered[-1] == 77
+        statistics = statistics.observe('s/5', 77)
+    assert statistics.find('s/9').ordered[-1] == 77
