--- a/src/cartdale/callers/respond.py
+++ b/src/cartdale/callers/respond.py
@@ -128,7 +128,7 @@
         batch = await delivery.next_batch()
     if isinstance(batch, Broken):
         return make_problem_response(batch.problem)
-    prompt_tokens = delivery.asked.work.prompt_tokens
+    prompt_tokens = delivery.request.work.prompt_tokens
     whole = WholeCompletion(
         id=delivery.state.generation,
         object=kind.removesuffix('.chunk'),
--- a/src/cartdale/streams/answers.py
+++ b/src/cartdale/streams/answers.py
@@ -12,11 +12,10 @@
 
 @dataclass(frozen=True, slots=True)
 class DeliveryRequest:
-    """Describe the answer that a caller wants.
+    """A caller's request for a streamed response.
 
-    :param position: where a resumed answer stands, if it is one.
-    :param identity: what it has in common with other submissions of the same
-        request.
+    :param position: resume position, for a resumed response.
+    :param identity: digest that all submissions of the same request share.
     """
 
     work: Work
@@ -30,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Chunk:
-    """Carry one chunk to the caller with its resume position."""
+    """One chunk for the caller with its resume position."""
 
     position: str
     payload: str
@@ -38,12 +37,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Completed:
-    """The answer is complete."""
+    """The response is complete."""
 
 
 @dataclass(frozen=True, slots=True)
 class Broken:
-    """The answer ended with a problem."""
+    """The response ended with a problem."""
 
     problem: Problem
 
@@ -52,7 +51,7 @@
 
 
 def choose_outcome(last: Completed | Broken | None) -> Outcome:
-    """Return how an answer ended, for the measures."""
+    """Return the outcome of a response, for the measurements."""
     match last:
         case None:
             return Outcome.CALLER_LEFT
--- a/src/cartdale/streams/chunks.py
+++ b/src/cartdale/streams/chunks.py
@@ -7,14 +7,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Delta:
-    """Carry the text of a chat chunk."""
+    """Text of a chat chunk."""
 
     content: str = ''
 
 
 @dataclass(frozen=True, slots=True)
 class Choice:
-    """Carry one alternative; cartdale asks for one only."""
+    """One alternative; cartdale requests only one."""
 
     text: str = ''
     delta: Delta = field(default_factory=Delta)
@@ -23,9 +23,9 @@
 
 @dataclass(frozen=True, slots=True)
 class CompletionChunk:
-    """Carry one chunk of a completion, plain or chat.
+    """One chunk of a text or chat completion.
 
-    :param id: the engine's name for the completion.
+    :param id: the engine's id of the completion.
     """
 
     id: str = ''
@@ -38,7 +38,7 @@
 def decode_chunk(payload: str) -> CompletionChunk:
     """Decode one chunk.
 
-    :raises msgspec.MsgspecError: when it is not a completion chunk.
+    :raises msgspec.MsgspecError: if it is not a completion chunk.
     """
     return decode_json(payload, CompletionChunk)
 
--- a/src/cartdale/streams/decide.py
+++ b/src/cartdale/streams/decide.py
@@ -47,46 +47,46 @@
     StreamState,
 )
 
-#: Tokens after which a generation's priority is raised a step.
+#: Token counts at which a generation's priority is raised by one step.
 PRIORITY_STEP_TOKENS = (64, 256, 1024, 4096)
-#: Times a request is run again before it is given up.
+#: Repeated runs of a request before it fails.
 MAX_REPEATS = 3
 _RETRY_AFTER: Millis = 2 * SECOND_MS
 _DELIVER = Deliver()
 
 
 def decide(state: StreamState, message: Message, now: Millis) -> Decision:
-    """Take one message about an answer.
+    """Apply one message to the state of a delivery.
 
     :param now: monotonic milliseconds.
-    :returns: the next state, and what to do towards caller and engine.
+    :returns: the next state, and the actions towards caller and engine.
     """
     if state.phase is Phase.ENDED:
         return state, ()
     match message:
         case ChunkArrived():
-            return _take_chunk(state, message, now)
+            return _apply_chunk(state, message, now)
         case StreamCompleted():
             return _complete(state)
         case LinkBroke():
-            return _lose_link(state, now)
+            return _handle_link_loss(state, now)
         case SilenceElapsed():
             return state, (AskStatus(),)
         case StatusArrived(status=status):
-            return _take_status(state, status, now)
+            return _apply_status(state, status, now)
         case GenerationLost():
-            return _lose_generation(replace(state, sent=True))
+            return _handle_generation_loss(replace(state, sent=True))
         case NotSent():
-            return _not_sent(state, now)
+            return _handle_not_sent(state, now)
         case StartRefused():
-            return _restart_or(state, _refusal(state))
+            return _restart_or_fail(state, _refusal(state))
         case PrefixDiffers():
             return _end(state, Fail(EndedEarly(state.delivered)))
         case _:
             assert_never(message)
 
 
-def begin(
+def make_stream_state(
     generation: str,
     upstream: str,
     now: Millis,
@@ -95,7 +95,7 @@
     delivered: int = 0,
     resumed: bool = False,
 ) -> StreamState:
-    """Make the state of an answer that is about to start or resume."""
+    """Return the initial state of a response that starts or resumes."""
     return StreamState(
         generation=generation,
         upstream=upstream,
@@ -107,7 +107,7 @@
     )
 
 
-def move(
+def restart_on(
     state: StreamState, generation: str, upstream: str, now: Millis
 ) -> StreamState:
     """Return the state after ``Restart`` chose an engine.
@@ -132,16 +132,21 @@
 
 
 def count_priority_steps(produced: int) -> int:
-    """Return the steps of priority that long running has earned.
+    """Return the priority steps for the number of produced tokens.
 
-    What has run long is expensive to push aside and, by the lengths seen,
-    likely to run on; the engine then preempts what has just begun.
+    Preempting a long generation is expensive, and by the observed lengths it
+    is likely to continue. With raised priority, the engine preempts recently
+    started generations instead.
     """
     return bisect_right(PRIORITY_STEP_TOKENS, produced)
 
 
-def soften(state: StreamState, problem: Problem) -> Problem:
-    """Return what may truthfully be said when no engine takes a repeat."""
+def correct_refusal(state: StreamState, problem: Problem) -> Problem:
+    """Return the problem to report when the request can't run again.
+
+    A problem that says that the request did not run holds only if nothing
+    was sent to an engine.
+    """
     if state.delivered:
         return EndedEarly(state.delivered)
     if state.sent:
@@ -149,7 +154,7 @@
     return problem
 
 
-def _take_chunk(
+def _apply_chunk(
     state: StreamState, chunk: ChunkArrived, now: Millis
 ) -> Decision:
     check_invariant(
@@ -160,8 +165,8 @@
     if chunk.offset <= state.received:
         return state, ()
     if chunk.offset != state.received + 1:
-        return _lose_link(state, now)
-    fresh = chunk.offset > state.delivered
+        return _handle_link_loss(state, now)
+    undelivered = chunk.offset > state.delivered
     after = replace(
         state,
         phase=Phase.STREAMING,
@@ -171,7 +176,7 @@
         link_lost_at=0,
         sent=True,
     )
-    if not fresh:
+    if not undelivered:
         return after, (Compare(),)
     check_invariant(
         ONCE_IN_ORDER,
@@ -190,54 +195,54 @@
     return _end(state, Finish())
 
 
-def _lose_link(state: StreamState, now: Millis) -> Decision:
+def _handle_link_loss(state: StreamState, now: Millis) -> Decision:
     lost_at = state.link_lost_at or now
     after = replace(
         state, phase=Phase.LINK_DOWN, link_lost_at=lost_at, sent=True
     )
     if now - lost_at >= LOST_ENGINE_MS:
-        return _lose_generation(after)
+        return _handle_generation_loss(after)
     pause = REATTACH_PAUSE_MS if state.link_lost_at else 0
     return after, (Attach(after.received, pause),)
 
 
-def _take_status(
+def _apply_status(
     state: StreamState, status: StreamStatus | None, now: Millis
 ) -> Decision:
     if status is None:
-        return _lose_link(state, now)
-    link_stalled = status.produced > state.received
+        return _handle_link_loss(state, now)
+    link_lags = status.produced > state.received
     finished = status.phase is StreamPhase.ENDED
-    if link_stalled or finished:
+    if link_lags or finished:
         return state, (Attach(state.received),)
     return replace(state, link_lost_at=0), ()
 
 
-def _lose_generation(state: StreamState) -> Decision:
+def _handle_generation_loss(state: StreamState) -> Decision:
     if state.delivered:
-        return _restart_or(state, Fail(EndedEarly(state.delivered)))
-    return _restart_or(state, Fail(OutcomeUnknown('the engine was lost')))
+        return _restart_or_fail(state, Fail(EndedEarly(state.delivered)))
+    return _restart_or_fail(state, Fail(OutcomeUnknown('the engine was lost')))
 
 
-def _not_sent(state: StreamState, now: Millis) -> Decision:
+def _handle_not_sent(state: StreamState, now: Millis) -> Decision:
     if not state.sent:
-        return _restart_or(state, _refusal(state))
+        return _restart_or_fail(state, _refusal(state))
     refusing_since = state.link_lost_at or now
     if now - refusing_since >= REFUSING_ENGINE_MS:
-        return _lose_generation(state)
-    return _lose_link(state, now)
+        return _handle_generation_loss(state)
+    return _handle_link_loss(state, now)
 
 
-def _restart_or(state: StreamState, otherwise: Fail) -> Decision:
+def _restart_or_fail(state: StreamState, failure: Fail) -> Decision:
     allowed = state.may_repeat or not state.sent
     if allowed and state.repeats < MAX_REPEATS:
         return replace(state, phase=Phase.STARTING), (Restart(),)
-    return _end(state, otherwise)
+    return _end(state, failure)
 
 
 def _refusal(state: StreamState) -> Fail:
     refused = NotRun(NotRunReason.REFUSED, _RETRY_AFTER)
-    return Fail(soften(state, refused))
+    return Fail(correct_refusal(state, refused))
 
 
 def _end(state: StreamState, last: Finish | Fail) -> Decision:
--- a/src/cartdale/streams/driver.py
+++ b/src/cartdale/streams/driver.py
@@ -30,8 +30,13 @@
     choose_outcome,
 )
 from cartdale.streams.chunks import read_text
-from cartdale.streams.decide import begin, decide, move, soften
-from cartdale.streams.link import Link, refuse_to_send
+from cartdale.streams.decide import (
+    correct_refusal,
+    decide,
+    make_stream_state,
+    restart_on,
+)
+from cartdale.streams.link import Link, refuse_while_backing_off
 from cartdale.streams.ports import DeliveryPorts
 from cartdale.streams.position import (
     DeliveredPrefix,
@@ -66,68 +71,68 @@
 _ABANDON_GRACE: Millis = 15_000
 _RETRY_AFTER: Millis = 2000
 
-#: Closings that speak against the engine and not only against the link.
+#: Reasons for the end of a link that count as a failure of the engine.
 _ENGINE_AT_FAULT = (NotSent, StartRefused, GenerationLost)
-#: What tells, where no link can be had any more, that an engine ended: it has
-#: nothing of what it began, or can't be reached for seconds.
+#: Messages that show that an engine ended, if no link can be opened any
+#: more: it lost the generation, or is unreachable for seconds.
 _ENGINE_ENDED = (NotSent, LinkBroke, GenerationLost, StatusArrived)
 
 
 class Delivery:
-    """Deliver one answer to one caller."""
+    """Deliver one response to one caller."""
 
-    def __init__(self, ports: DeliveryPorts, asked: DeliveryRequest) -> None:
+    def __init__(self, ports: DeliveryPorts, request: DeliveryRequest) -> None:
         self._ports = ports
-        self.asked = asked
+        self.request = request
         self._link = Link()
-        self._ready: list[Chunk] = []
-        self._last: Completed | Broken | None = None
-        self._watch = RunTracker(
-            ports.quarantine, asked.identity, asked.generation.generation
+        self._pending_chunks: list[Chunk] = []
+        self._ending: Completed | Broken | None = None
+        self._run_tracker = RunTracker(
+            ports.quarantine, request.identity, request.generation.generation
         )
         self._meter = ports.recorder.make_meter(
-            asked.work.service, asked.customer
+            request.work.service, request.customer
         )
-        position = asked.position
+        position = request.position
         digest = position.prefix_digest if position else ''
         self._prefix = DeliveredPrefix(ports.position_signer, digest)
-        self.state = begin(
-            asked.generation.generation,
+        self.state = make_stream_state(
+            request.generation.generation,
             '',
             ports.clock.now(),
-            may_repeat=asked.may_repeat,
+            may_repeat=request.may_repeat,
         )
 
     @property
     def signed_origin(self) -> str:
-        """Return the sealed origin, by which others attach."""
-        return self._prefix.sealed
+        """Return the signed origin, with which others attach."""
+        return self._prefix.signed_origin
 
     async def start(self) -> Problem | None:
         """Place the work and open the first link.
 
-        :returns: the refusal when the work cannot be placed.
+        :returns: the refusal, if the work cannot be placed.
         """
-        position = self.asked.position
+        position = self.request.position
         if position is not None:
             self._resume(position)
             return None
-        refusal = self._watch.find_refusal()
+        refusal = self._run_tracker.find_refusal()
         if refusal is not None:
             return refusal
-        resting = self._ports.backoffs.list_backing_off()
+        backing_off = self._ports.backoffs.list_backing_off()
         placed = await self._ports.placer.place(
-            _avoid(self.asked.work, resting)
+            _exclude_upstreams(self.request.work, backing_off)
         )
         match placed:
             case Success(upstream):
-                refusal = self._watch.find_refusal()
+                refusal = self._run_tracker.find_refusal()
                 if refusal is not None:
-                    # Quarantined while it waited for room.
-                    self._settle(finished=False)
+                    # Quarantined while it waited for capacity.
+                    self._report_end(finished=False)
                     return refusal
                 self.state = replace(self.state, upstream=upstream)
-                self._ports.budget.earn(self.asked.customer, upstream)
+                self._ports.budget.earn(self.request.customer, upstream)
                 self._open_start()
                 return None
             case Failure(failure):
@@ -136,55 +141,56 @@
         return None
 
     async def next_batch(self) -> Batch:
-        """Wait for chunks, or for the end of the answer."""
+        """Wait for chunks or for the end of the response."""
         while True:
-            if self._ready:
-                batch = tuple(self._ready)
-                self._ready.clear()
+            if self._pending_chunks:
+                batch = tuple(self._pending_chunks)
+                self._pending_chunks.clear()
                 return batch
-            if self._last is not None:
-                return self._last
-            await self._pump()
+            if self._ending is not None:
+                return self._ending
+            await self._process_link()
 
     def close(self) -> None:
-        """Release the link; unfinished work is cancelled after a grace."""
+        """Release the link; cancel unfinished work after a grace period."""
         self._link.drop()
-        measured = self._meter.finish(choose_outcome(self._last))
+        measured = self._meter.finish(choose_outcome(self._ending))
         self._ports.recorder.record(measured)
         if self.state.phase is Phase.ENDED or not self.state.upstream:
-            self._settle(finished=isinstance(self._last, Completed))
+            self._report_end(finished=isinstance(self._ending, Completed))
             return
         self._ports.nursery.start_soon(self._cancel_later, self.state)
 
     def _resume(self, position: Position) -> None:
         origin = position.origin
-        self.state = begin(
+        self.state = make_stream_state(
             origin.generation,
             origin.upstream,
             self._ports.clock.now(),
-            may_repeat=self.asked.may_repeat,
+            may_repeat=self.request.may_repeat,
             delivered=position.offset,
             resumed=True,
         )
         self._bind()
-        self._open(Attach(0))
+        self._attach(Attach(0))
 
     def _open_start(self) -> None:
         self.state = replace(self.state, progress_at=self._ports.clock.now())
         self._prefix.restart()
         self._bind()
-        self._watch.note_sent(self._ports.clock.now())
+        self._run_tracker.note_sent(self._ports.clock.now())
         engine = self._ports.find_engine(self.state.upstream)
         request = replace(
-            self.asked.generation, generation=self.state.generation
+            self.request.generation, generation=self.state.generation
         )
         if self._ports.backoffs.remaining(self.state.upstream):
-            # Whoever placed it does not know, or there is no other.
-            self._read(refuse_to_send())
+            # The placer does not know of the back-off, or has no other
+            # engine.
+            self._read(refuse_while_backing_off())
         else:
             self._read(engine.start(request))
 
-    def _open(self, attach: Attach) -> None:
+    def _attach(self, attach: Attach) -> None:
         if not attach.offset:
             self._prefix.restart()
         engine = self._ports.find_engine(self.state.upstream)
@@ -195,31 +201,31 @@
         self._link = Link()
         self._ports.nursery.start_soon(self._link.run, opener)
 
-    async def _pump(self) -> None:
+    async def _process_link(self) -> None:
         link = self._link
         scope = trio.move_on_after(as_seconds(SILENCE_MS))
         with scope:
             await link.wait()
         if scope.cancelled_caught:
-            await self._tell(SilenceElapsed())
+            await self._dispatch(SilenceElapsed())
             return
         closing = link.closing
-        await self._take_all(link.take())
+        await self._apply_events(link.take())
         if closing is not None and link is self._link:
-            self._blame(closing)
-            await self._tell(closing)
+            self._report_closing(closing)
+            await self._dispatch(closing)
 
-    async def _take_all(self, events: tuple[Event, ...]) -> None:
+    async def _apply_events(self, events: tuple[Event, ...]) -> None:
         before = self.state.delivered
         for event in events:
-            await self._take(event)
-        fresh = self.state.delivered - before
-        if fresh:
-            gap = self._meter.note(fresh, self._ports.clock.now())
-            service = self.asked.work.service
+            await self._apply_event(event)
+        delivered = self.state.delivered - before
+        if delivered:
+            gap = self._meter.note(delivered, self._ports.clock.now())
+            service = self.request.work.service
             self._ports.recorder.measurements.record_gap(service, gap)
 
-    async def _take(self, event: Event) -> None:
+    async def _apply_event(self, event: Event) -> None:
         after, actions = decide(
             self.state,
             ChunkArrived(event.generation, event.offset),
@@ -228,52 +234,52 @@
         if after.received > self.state.received:
             self._prefix.add(read_text(event.payload))
             if after.received == EVENTS_PAST_START + 1:
-                self._watch.note_ran_on()
+                self._run_tracker.note_ran_on()
         self.state = after
         for action in actions:
             if isinstance(action, Deliver):
                 position = self._prefix.deliver(event.offset)
-                self._ready.append(Chunk(position, event.payload))
+                self._pending_chunks.append(Chunk(position, event.payload))
                 continue
             await self._carry_out(action)
 
-    async def _tell(self, message: Message) -> None:
+    async def _dispatch(self, message: Message) -> None:
         after, actions = decide(self.state, message, self._ports.clock.now())
         self.state = after
         lost = any(isinstance(action, Restart | Fail) for action in actions)
         if lost and after.sent and isinstance(message, _ENGINE_ENDED):
             begun = max(after.received, after.delivered)
-            self._watch.note_lost(after.upstream, begun)
+            self._run_tracker.note_lost(after.upstream, begun)
         for action in actions:
             await self._carry_out(action)
 
     async def _carry_out(self, action: Action) -> None:
         match action:
             case Deliver():
-                """Done where the event is at hand."""
+                """Handled where the event is available."""
             case Protect(steps=steps):
                 self._protect(steps)
             case Compare():
                 await self._compare()
             case Attach(pause=pause):
                 await trio.sleep(as_seconds(pause))
-                self._open(action)
+                self._attach(action)
             case AskStatus():
                 await self._ask_status()
             case Restart():
                 await self._restart()
             case Finish():
-                self._watch.note_ran_on()
-                self._last = Completed()
+                self._run_tracker.note_ran_on()
+                self._ending = Completed()
             case Fail(problem=problem):
                 backoff = self._ports.backoffs.remaining(self.state.upstream)
-                self._last = Broken(_outlast(problem, backoff))
+                self._ending = Broken(_extend_retry_after(problem, backoff))
             case _:
                 assert_never(action)
 
     def _protect(self, steps: int) -> None:
         engine = self._ports.find_engine(self.state.upstream)
-        priority = self.asked.generation.priority + steps
+        priority = self.request.generation.priority + steps
         self._ports.nursery.start_soon(
             engine.raise_priority, self.state.generation, priority
         )
@@ -282,41 +288,43 @@
         if self.state.received != self.state.delivered:
             return
         if not self._prefix.matches():
-            await self._tell(PrefixDiffers())
+            await self._dispatch(PrefixDiffers())
 
     async def _ask_status(self) -> None:
         engine = self._ports.find_engine(self.state.upstream)
         answer = await engine.status(self.state.generation, _STATUS_TIMEOUT)
         if answer == Failure(GenerationUnknown()):
-            await self._tell(GenerationLost())
+            await self._dispatch(GenerationLost())
             return
         status = answer.value_or(None)
         if status is not None and status.phase is StreamPhase.WAITING:
             self._meter.preemptions += int(self.state.received > 0)
-        await self._tell(StatusArrived(status))
+        await self._dispatch(StatusArrived(status))
 
     async def _restart(self) -> None:
-        self._settle(finished=False)
+        self._report_end(finished=False)
         abandoned = self.state
-        refusal = self._watch.find_refusal()
+        refusal = self._run_tracker.find_refusal()
         if refusal is not None:
             self._give_up(refusal)
             return
         if not self._ports.budget.withdraw(
-            self.asked.customer, abandoned.upstream
+            self.request.customer, abandoned.upstream
         ):
             self._give_up(NotRun(NotRunReason.REFUSED, _RETRY_AFTER))
             return
         self._ports.nursery.start_soon(self._cancel, abandoned)
-        first = self.asked.generation.generation
+        first = self.request.generation.generation
         generation = f'{first}-{abandoned.repeats + 1}'
-        resting = self._ports.backoffs.list_backing_off()
-        avoided = _avoid(self.asked.work, (abandoned.upstream, *resting))
+        backing_off = self._ports.backoffs.list_backing_off()
+        avoided = _exclude_upstreams(
+            self.request.work, (abandoned.upstream, *backing_off)
+        )
         work = replace(avoided, work_id=generation)
         placed = await self._ports.placer.place(work)
         match placed:
             case Success(upstream):
-                self.state = move(
+                self.state = restart_on(
                     abandoned,
                     generation,
                     upstream,
@@ -328,7 +336,9 @@
 
     def _give_up(self, problem: Problem) -> None:
         backoff = self._ports.backoffs.remaining(self.state.upstream)
-        self._last = Broken(soften(self.state, _outlast(problem, backoff)))
+        self._ending = Broken(
+            correct_refusal(self.state, _extend_retry_after(problem, backoff))
+        )
         self.state = replace(self.state, phase=Phase.ENDED)
 
     def _bind(self) -> None:
@@ -336,13 +346,13 @@
             Origin(
                 generation=self.state.generation,
                 upstream=self.state.upstream,
-                customer=self.asked.customer,
-                service=self.asked.work.service,
-                body_digest=self.asked.body_digest,
+                customer=self.request.customer,
+                service=self.request.work.service,
+                body_digest=self.request.body_digest,
             ),
         )
 
-    def _blame(self, closing: Message) -> None:
+    def _report_closing(self, closing: Message) -> None:
         if isinstance(closing, StartRefused):
             self._ports.backoffs.note(self.state.upstream, closing.backoff)
         if isinstance(closing, _ENGINE_AT_FAULT):
@@ -350,7 +360,7 @@
                 self.state.generation, self.state.upstream
             )
 
-    def _settle(self, *, finished: bool) -> None:
+    def _report_end(self, *, finished: bool) -> None:
         work_id = self.state.generation
         self._ports.placer.report_end(
             work_id, self.state.received, finished=finished
@@ -368,16 +378,16 @@
         status = answer.value_or(None)
         if status is not None and not status.readers:
             await engine.cancel(abandoned.generation)
-        self._settle(finished=False)
+        self._report_end(finished=False)
 
 
-def _avoid(work: Work, names: tuple[str, ...]) -> Work:
-    """Return work as it is to be placed: not where it can't go now."""
+def _exclude_upstreams(work: Work, names: tuple[str, ...]) -> Work:
+    """Return the work with more upstreams excluded."""
     return replace(work, avoid=(*work.avoid, *names))
 
 
-def _outlast(problem: Problem, backoff: Millis) -> Problem:
-    """Have a refused caller come back after a rest, if that is why."""
+def _extend_retry_after(problem: Problem, backoff: Millis) -> Problem:
+    """Extend the retry time of a refusal to the end of the back-off."""
     if not isinstance(problem, NotRun):
         return problem
     return replace(problem, retry_after=max(problem.retry_after, backoff))
--- a/src/cartdale/streams/link.py
+++ b/src/cartdale/streams/link.py
@@ -26,15 +26,17 @@
     StreamCompleted,
 )
 
-#: Events read ahead of a slow caller; the engine keeps the rest.
+#: Events buffered for a slow caller; the engine holds the remaining ones.
 _READ_AHEAD = 512
 
 Closing = StreamCompleted | LinkBroke | NotSent | StartRefused | GenerationLost
 
 
 @asynccontextmanager
-async def refuse_to_send() -> AsyncIterator[Result[Events, EngineFailure]]:
-    """Stand for an engine that wants no requests, and gets none."""
+async def refuse_while_backing_off() -> AsyncIterator[
+    Result[Events, EngineFailure]
+]:
+    """Refuse in place of an engine that is backing off; send nothing."""
     yield Failure(EngineRefused(HTTPStatus.SERVICE_UNAVAILABLE))
 
 
@@ -71,7 +73,7 @@
         return events
 
     async def wait(self) -> None:
-        """Wait until there is something to take, or the stream closed."""
+        """Wait until events are available or the stream closed."""
         await self._arrived.wait()
 
     async def _read(self, opener: OpenedEvents) -> None:
@@ -84,13 +86,13 @@
                 async for batch in batches:
                     self._events.extend(batch)
                     self._arrived.set()
-                    await self._respect_bound()
+                    await self._wait_for_capacity()
                 return StreamCompleted()
             case Failure(failure):
                 return _to_closing(failure)
         return LinkBroke()
 
-    async def _respect_bound(self) -> None:
+    async def _wait_for_capacity(self) -> None:
         while len(self._events) > _READ_AHEAD:
             self._taken = trio.Event()
             await self._taken.wait()
--- a/src/cartdale/streams/ports.py
+++ b/src/cartdale/streams/ports.py
@@ -17,9 +17,9 @@
 
 @dataclass(frozen=True, slots=True)
 class DeliveryPorts:
-    """Bundle what a delivery uses of its instance.
+    """Components of an instance that a delivery uses.
 
-    :param find_engine: finds the adapter of an upstream.
+    :param find_engine: returns the adapter of an upstream.
     """
 
     clock: Clock
--- a/src/cartdale/streams/position.py
+++ b/src/cartdale/streams/position.py
@@ -22,9 +22,10 @@
 
 
 class Origin(msgspec.Struct, frozen=True, array_like=True):
-    """Name what a position belongs to.
+    """The generation and request that a position belongs to.
 
-    :param body_digest: digest of the request body, which a resume repeats.
+    :param body_digest: digest of the request body; a resume must send the
+        same body.
     """
 
     generation: str
@@ -36,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Position:
-    """Point behind a delivered token.
+    """Position after a delivered token.
 
     :param offset: tokens delivered.
     :param prefix_digest: digest of the delivered chunks, hexadecimal.
@@ -48,7 +49,7 @@
 
 
 class PrefixDigest:
-    """Digest the chunks of an answer in order."""
+    """Digest of the chunks of a response, in order."""
 
     def __init__(self) -> None:
         self._hash = hashlib.blake2b(digest_size=_DIGEST_BYTES)
@@ -58,43 +59,43 @@
         self._hash.update(text.encode())
 
     def read(self) -> str:
-        """Return the digest of everything appended."""
+        """Return the digest of all appended chunks."""
         return self._hash.hexdigest()
 
 
 class PositionSigner:
-    """Seal and open positions with keys that all instances know.
+    """Sign and verify positions with keys that all instances share.
 
-    :param keys: accepted keys, the newest first; it seals.
+    :param keys: accepted keys, the newest first; the newest signs.
     """
 
     def __init__(self, keys: tuple[bytes, ...]) -> None:
         self._keys = keys
 
     def rotate(self, keys: tuple[bytes, ...]) -> None:
-        """Take other keys; positions of keys still listed stay valid."""
+        """Replace the keys; positions signed with a listed key stay valid."""
         self._keys = keys
 
     def sign(self, origin: Origin) -> str:
-        """Return the sealed origin, the constant part of every event id."""
+        """Return the signed origin, the constant part of each event id."""
         raw = encode_binary(origin)
         return urlsafe_b64encode(_mac(self._keys[0], raw) + raw).decode()
 
     def verify(self, text: str) -> Position | None:
-        """Return the position, or ``None`` when it is not genuine."""
+        """Return the position, or ``None`` if it is not authentic."""
         parts = text.split(_SEPARATOR)
         if len(parts) != _PARTS or not parts[1].isdecimal():
             return None
         try:
-            sealed = urlsafe_b64decode(parts[0])
+            signed = urlsafe_b64decode(parts[0])
         except ValueError:
             return None
-        origin = self._open_origin(sealed[:_MAC_BYTES], sealed[_MAC_BYTES:])
+        origin = self._verify_origin(signed[:_MAC_BYTES], signed[_MAC_BYTES:])
         if origin is None:
             return None
         return Position(origin, int(parts[1]), parts[2])
 
-    def _open_origin(self, code: bytes, raw: bytes) -> Origin | None:
+    def _verify_origin(self, code: bytes, raw: bytes) -> Origin | None:
         for key in self._keys:
             if not hmac.compare_digest(code, _mac(key, raw)):
                 continue
@@ -106,9 +107,9 @@
 
 
 class DeliveredPrefix:
-    """Follow what the caller has, and seal positions behind it.
+    """Digest of the delivered chunks, and the positions after them.
 
-    :param prefix_digest: digest of what a resumed caller already has.
+    :param prefix_digest: digest of the chunks that a resuming caller has.
     """
 
     def __init__(
@@ -117,33 +118,33 @@
         self._position_signer = position_signer
         self._running = PrefixDigest()
         self._delivered = prefix_digest
-        self.sealed = ''
+        self.signed_origin = ''
 
     def bind(self, origin: Origin) -> None:
-        """Seal the origin of the run that is followed from now on."""
-        self.sealed = self._position_signer.sign(origin)
+        """Sign the origin of the current run."""
+        self.signed_origin = self._position_signer.sign(origin)
 
     def restart(self) -> None:
-        """Begin to read a run from its first token."""
+        """Restart the digest for a run read from its first token."""
         self._running = PrefixDigest()
 
     def add(self, text: str) -> None:
-        """Take the next token of the run."""
+        """Add the next chunk of the run."""
         self._running.add(text)
 
     def matches(self) -> bool:
-        """Tell whether the run reproduced what the caller has."""
+        """Return whether the run reproduced the delivered chunks."""
         return self._running.read() == self._delivered
 
     def deliver(self, offset: int) -> str:
-        """Count the last token as delivered and return its event id."""
+        """Mark the last chunk as delivered and return its event id."""
         self._delivered = self._running.read()
-        return format_position(self.sealed, offset, self._delivered)
+        return format_position(self.signed_origin, offset, self._delivered)
 
 
-def format_position(sealed: str, offset: int, prefix_digest: str) -> str:
+def format_position(signed_origin: str, offset: int, prefix_digest: str) -> str:
     """Return the event id of a chunk."""
-    return f'{sealed}{_SEPARATOR}{offset}{_SEPARATOR}{prefix_digest}'
+    return f'{signed_origin}{_SEPARATOR}{offset}{_SEPARATOR}{prefix_digest}'
 
 
 def _mac(key: bytes, raw: bytes) -> bytes:
--- a/src/cartdale/streams/types.py
+++ b/src/cartdale/streams/types.py
@@ -7,18 +7,18 @@
 from cartdale.engines.types import StreamStatus
 from cartdale.problems.types import Problem
 
-#: Silence after which the engine is asked what it is doing.
+#: Silence after which the engine's status is queried.
 SILENCE_MS: Millis = 2 * SECOND_MS
-#: Longest wait for an engine that answers nothing at all.
+#: Time after which an unresponsive engine counts as lost.
 LOST_ENGINE_MS: Millis = 5 * SECOND_MS
-#: Longest wait for an engine whose machine refuses connections.
+#: Time after which an engine that refuses connections counts as lost.
 REFUSING_ENGINE_MS: Millis = SECOND_MS
-#: Pause before a failed attach is tried again.
+#: Delay before a failed attach is retried.
 REATTACH_PAUSE_MS: Millis = 200
 
 
 class Phase(StrEnum):
-    """Say where the delivery stands."""
+    """Phase of a delivery."""
 
     STARTING = 'starting'
     STREAMING = 'streaming'
@@ -28,16 +28,16 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamState:
-    """Hold one answer's delivery.
+    """State of one delivery.
 
     :param generation: the only generation that may be delivered.
     :param upstream: engine that runs it.
-    :param delivered: tokens the caller has, all from this answer.
-    :param resumed_at: tokens the caller had when it came here.
-    :param received: tokens seen on the current link; smaller than
+    :param delivered: tokens of this response that the caller has.
+    :param resumed_at: tokens the caller had when it resumed here.
+    :param received: tokens received on the current link; smaller than
         ``delivered`` while a repeated run reproduces the prefix.
-    :param progress_at: last time a token arrived, or the start.
-    :param link_lost_at: since when no link works; 0 while one does.
+    :param progress_at: time of the last token, or of the start.
+    :param link_lost_at: time since which no link works; 0 while one does.
     :param may_repeat: whether the request may run a second time.
     :param sent: whether any engine may have begun to run it.
     """
@@ -65,12 +65,12 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamCompleted:
-    """The engine sent its end mark."""
+    """The engine sent its end marker."""
 
 
 @dataclass(frozen=True, slots=True)
 class LinkBroke:
-    """The link failed after something was sent."""
+    """The link failed after the request was sent."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -80,9 +80,9 @@
 
 @dataclass(frozen=True, slots=True)
 class StartRefused:
-    """The engine refused before running.
+    """The engine refused the request without running it.
 
-    :param backoff: how long it wants no requests; 0 when it does not say.
+    :param backoff: back-off that it requested; 0 for none.
     """
 
     backoff: Millis = 0
@@ -95,19 +95,19 @@
 
 @dataclass(frozen=True, slots=True)
 class StatusArrived:
-    """The engine said what it does; ``None`` when it did not answer."""
+    """The engine reported its status; ``None`` if it did not respond."""
 
     status: StreamStatus | None
 
 
 @dataclass(frozen=True, slots=True)
 class SilenceElapsed:
-    """No chunk came for a while."""
+    """No chunk arrived for ``SILENCE_MS``."""
 
 
 @dataclass(frozen=True, slots=True)
 class PrefixDiffers:
-    """A repeated run did not reproduce what the caller already has."""
+    """A repeated run did not reproduce the delivered chunks."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -119,7 +119,7 @@
 class Protect:
     """Raise the generation's priority on its engine.
 
-    :param steps: how far above the priority it started with.
+    :param steps: priority steps above its initial priority.
     """
 
     steps: int
@@ -127,15 +127,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Compare:
-    """Check the chunk against what the caller already has."""
+    """Compare the chunk with the delivered chunks."""
 
 
 @dataclass(frozen=True, slots=True)
 class Attach:
     """Open a new link to the same generation.
 
-    :param offset: tokens not to send again.
-    :param pause: wait before trying, in milliseconds.
+    :param offset: number of tokens that the engine need not send again.
+    :param pause: delay before the attempt, in milliseconds.
     """
 
     offset: int
@@ -144,22 +144,22 @@
 
 @dataclass(frozen=True, slots=True)
 class AskStatus:
-    """Ask the engine on a fresh connection what it does."""
+    """Query the engine's status on a new connection."""
 
 
 @dataclass(frozen=True, slots=True)
 class Restart:
-    """Run the request again, on another engine if there is one."""
+    """Run the request again, on another engine if possible."""
 
 
 @dataclass(frozen=True, slots=True)
 class Finish:
-    """Tell the caller that the answer is whole."""
+    """Signal to the caller that the response is complete."""
 
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """End the answer with a typed problem."""
+    """End the response with a typed problem."""
 
     problem: Problem
 
--- a/tests/test_resumable.py
+++ b/tests/test_resumable.py
@@ -16,25 +16,25 @@
 )
 
 TAG = '/tag/a'
-#: About three seconds, so that an engine can be cut in the middle.
+#: Takes about three seconds, so that the test can stop an engine midway.
 LONG = 800
 
 
-async def test_caller_goes_on_after_its_last_event() -> None:
+async def test_caller_resumes_after_its_last_event() -> None:
     async with open_platform() as stage:
         answer = await draft(stage, 'r1', path=TAG, last_event='20')
         assert answer.content == whole('r1', EVENTS, after=20)
         assert stage.engines[0].heads[0]['Last-Event-Id'] == '20'
 
 
-async def test_id_on_a_route_that_is_not_resumable_is_not_passed() -> None:
+async def test_event_id_is_not_forwarded_on_other_routes() -> None:
     async with open_platform() as stage:
         answer = await draft(stage, 'r1', last_event='20')
         assert answer.content == whole('r1')
         assert 'Last-Event-Id' not in stage.engines[0].heads[0]
 
 
-async def test_stream_goes_on_elsewhere_without_a_copy() -> None:
+async def test_stream_continues_on_another_engine_without_a_copy() -> None:
     async with open_platform(engines=1) as stage:
         async with draft_meanwhile(stage, 'r1', LONG, TAG) as answers:
             source = await find_runner(stage, 'r1')
@@ -48,18 +48,18 @@
         assert count_runs(stage, 'r1') == 2
 
 
-async def test_stream_is_cut_once_its_attempts_are_spent() -> None:
+async def test_stream_is_cut_when_its_attempts_are_used_up() -> None:
     async with open_platform(engines=1) as stage:
         cut: list[str] = []
 
-        async def ask() -> None:
+        async def request_draft() -> None:
             try:
                 await draft(stage, 'r1', LONG, TAG)
             except httpx.RemoteProtocolError as error:
                 cut.append(type(error).__name__)
 
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(ask)
+            nursery.start_soon(request_draft)
             first = await find_runner(stage, 'r1')
             stage.add_engine()
             await stage.settle()
@@ -72,7 +72,7 @@
         assert count_runs(stage, 'r1') == 2
 
 
-async def test_failed_stream_runs_again_elsewhere() -> None:
+async def test_failed_stream_runs_again_on_another_engine() -> None:
     async with open_platform(engines=2) as stage:
         for engine in stage.engines:
             engine.faults.errors = 1
@@ -83,7 +83,7 @@
             assert answer.content == whole(name)
 
 
-async def test_failure_of_an_engine_is_passed_on_as_it_is() -> None:
+async def test_engine_failure_is_forwarded_unchanged() -> None:
     async with open_platform(engines=2) as stage:
         for engine in stage.engines:
             engine.faults.errors = 1
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -11,7 +11,7 @@
 from cartdale.exceptions import InvariantError
 from cartdale.problems.types import EndedEarly, NotRun, OutcomeUnknown
 from cartdale.streams import decide as streams
-from cartdale.streams.decide import begin, decide, move
+from cartdale.streams.decide import decide, make_stream_state, restart_on
 from cartdale.streams.position import Origin, PositionSigner
 from cartdale.streams.types import (
     LOST_ENGINE_MS,
@@ -38,7 +38,7 @@
 
 
 def make_state(**fields: object) -> StreamState:
-    return replace(begin('g', 'u', 0, may_repeat=True), **fields)
+    return replace(make_stream_state('g', 'u', 0, may_repeat=True), **fields)
 
 
 def streaming(count: int, **fields: object) -> StreamState:
@@ -63,28 +63,28 @@
     assert actions == (Attach(5),)
 
 
-def test_a_crossed_answer_is_a_violation() -> None:
+def test_a_chunk_of_another_generation_violates_an_invariant() -> None:
     with pytest.raises(InvariantError, match='one_generation'):
         decide(streaming(5), ChunkArrived('other', 6), 0)
 
 
-def test_a_long_run_is_protected() -> None:
+def test_a_long_generation_gets_priority() -> None:
     _, actions = decide(streaming(63), ChunkArrived('g', 64), 0)
     assert actions == (Deliver(), Protect(1))
 
 
-def test_nothing_sent_is_not_run() -> None:
+def test_a_request_that_was_not_sent_is_reported_as_not_run() -> None:
     state = make_state(may_repeat=False, repeats=3)
     _, actions = decide(state, NotSent(), 0)
     assert isinstance(actions[0].problem, NotRun)
 
 
-def test_a_refusal_before_running_may_go_elsewhere() -> None:
+def test_a_request_refused_before_running_is_restarted() -> None:
     state = make_state(may_repeat=False)
     assert decide(state, StartRefused(), 0)[1] == (Restart(),)
 
 
-def test_a_lost_start_is_unknown_not_not_run() -> None:
+def test_a_lost_start_is_reported_as_unknown() -> None:
     state = make_state(may_repeat=False)
     state, actions = decide(state, LinkBroke(), 0)
     assert actions == (Attach(0),)
@@ -92,24 +92,24 @@
     assert isinstance(actions[0].problem, OutcomeUnknown)
 
 
-def test_not_run_after_sending_is_a_violation() -> None:
-    lie = Fail(NotRun(streams.NotRunReason.REFUSED, 0))
+def test_reporting_a_sent_request_as_not_run_violates_an_invariant() -> None:
+    false_refusal = Fail(NotRun(streams.NotRunReason.REFUSED, 0))
     with pytest.raises(InvariantError, match='not_run'):
-        streams._end(streaming(0), lie)
+        streams._end(streaming(0), false_refusal)
 
 
-def test_running_again_without_permission_is_a_violation() -> None:
+def test_repeating_a_request_without_permission_violates_an_invariant() -> None:
     with pytest.raises(InvariantError, match='at_most_once'):
-        move(streaming(3, may_repeat=False), 'g-1', 'v', 0)
+        restart_on(streaming(3, may_repeat=False), 'g-1', 'v', 0)
 
 
-def test_an_unrepeatable_stream_ends_early_with_its_count() -> None:
+def test_an_unrepeatable_stream_ends_early_with_its_token_count() -> None:
     state = streaming(9, may_repeat=False)
     _, actions = decide(state, GenerationLost(), 0)
     assert actions == (Fail(EndedEarly(9)),)
 
 
-def test_a_stalled_link_is_told_from_a_preempted_engine() -> None:
+def test_a_stalled_link_is_distinguished_from_a_preemption() -> None:
     state, actions = decide(streaming(5), SilenceElapsed(), 0)
     assert actions == (AskStatus(),)
     ahead = StatusArrived(StreamStatus(StreamPhase.RUNNING, 9))
@@ -118,7 +118,9 @@
     assert decide(state, waiting, 0)[1] == ()
 
 
-def test_a_refusing_machine_is_given_up_sooner_than_a_silent_one() -> None:
+def test_refused_connections_lose_an_engine_sooner_than_silence() -> (
+    None
+):
     state, _ = decide(streaming(5), NotSent(), 1)
     assert state.link_lost_at == 1
     later = 1 + REFUSING_ENGINE_MS
@@ -128,33 +130,33 @@
     assert decide(state, LinkBroke(), lost)[1] == (Restart(),)
 
 
-def test_positions_are_genuine_or_nothing() -> None:
+def test_forged_positions_are_rejected() -> None:
     position_signer = PositionSigner((b'new-key', b'old-key'))
     origin = Origin('g', 'u', 'c', 's', 'd')
-    sealed = PositionSigner((b'old-key',)).sign(origin)
-    assert position_signer.verify(f'{sealed}.7.abc').offset == 7
-    assert position_signer.verify(f'{sealed}.-7.abc') is None
-    assert position_signer.verify(f'{sealed[:-4]}AAAA.7.abc') is None
+    signed_origin = PositionSigner((b'old-key',)).sign(origin)
+    assert position_signer.verify(f'{signed_origin}.7.abc').offset == 7
+    assert position_signer.verify(f'{signed_origin}.-7.abc') is None
+    assert position_signer.verify(f'{signed_origin[:-4]}AAAA.7.abc') is None
     assert position_signer.verify('') is None
-    assert PositionSigner((b'else',)).verify(f'{sealed}.7.abc') is None
+    assert PositionSigner((b'else',)).verify(f'{signed_origin}.7.abc') is None
 
 
-def test_positions_outlive_a_rotation_of_keys() -> None:
+def test_positions_stay_valid_while_their_key_is_listed() -> None:
     position_signer = PositionSigner((b'first',))
-    sealed = position_signer.sign(Origin('g', 'u', 'c', 's', 'd'))
+    signed_origin = position_signer.sign(Origin('g', 'u', 'c', 's', 'd'))
     position_signer.rotate((b'second', b'first'))
-    assert position_signer.verify(f'{sealed}.7.abc') is not None
+    assert position_signer.verify(f'{signed_origin}.7.abc') is not None
     position_signer.rotate((b'second',))
-    assert position_signer.verify(f'{sealed}.7.abc') is None
+    assert position_signer.verify(f'{signed_origin}.7.abc') is None
 
 
 class Link:
-    """A link of the randomised run: late, repeated, cut and lost."""
+    """Randomised link: delays, repeated chunks, cuts and losses."""
 
     def __init__(self, seed: int, length: int, *, may_repeat: bool) -> None:
         self.random = random.Random(seed)
         self.length = length
-        self.state = begin('g', 'u', 0, may_repeat=may_repeat)
+        self.state = make_stream_state('g', 'u', 0, may_repeat=may_repeat)
         self.delivered: list[int] = []
         self.now = 0
         self.next_offset = 1
@@ -170,7 +172,7 @@
 
     def step(self) -> None:
         self.now += self.random.randrange(400)
-        self.tell(self.draw())
+        self.dispatch(self.draw())
 
     def draw(self) -> object:
         chance = self.random.random()
@@ -191,9 +193,9 @@
         self.next_offset += 1
         return ChunkArrived(self.state.generation, self.next_offset - 1)
 
-    def tell(self, message: object) -> None:
+    def dispatch(self, message: object) -> None:
         if isinstance(message, ChunkArrived):
-            # A repeated chunk may be ahead of what was really produced.
+            # The drawn offset may lie beyond the produced tokens.
             message = replace(message, offset=min(message.offset, self.length))
         self.state, actions = decide(self.state, message, self.now)
         for action in actions:
@@ -208,17 +210,17 @@
                 self.next_offset = offset + 1
             case Restart():
                 generation = f'g-{self.state.repeats + 1}'
-                self.state = move(self.state, generation, 'v', self.now)
+                self.state = restart_on(self.state, generation, 'v', self.now)
                 self.start()
             case Finish() | Fail():
                 self.end = action
             case Compare() | AskStatus() | Protect():
-                """Nothing to do without an engine."""
+                """No effect without an engine."""
 
 
 @settings(max_examples=300, derandomize=True, deadline=None)
 @given(st.integers(0, 10**9), st.integers(1, 60), st.booleans())
-def test_any_schedule_of_faults_delivers_a_true_prefix(
+def test_any_fault_schedule_delivers_a_correct_prefix(
     seed: int, length: int, may_repeat: bool
 ) -> None:
     link = Link(seed, length, may_repeat=may_repeat)
--- a/tests/test_streams_end_to_end.py
+++ b/tests/test_streams_end_to_end.py
@@ -1,4 +1,4 @@
-"""Answers reach their caller whole, over real sockets."""
+"""Answers reach their caller complete, over real sockets."""
 
 from pathlib import Path
 
@@ -18,7 +18,7 @@
 LONG = 'A long draft [length=400]'
 
 
-async def test_an_answer_arrives_whole(tmp_path: Path) -> None:
+async def test_a_response_arrives_complete(tmp_path: Path) -> None:
     async with open_stage(tmp_path) as stage:
         await stage.settle(stage.declare())
         got = await stream(stage, 0, make_body(LONG))
@@ -27,7 +27,7 @@
         assert len(got.generations) == 1
 
 
-async def test_a_key_is_not_judged_before_there_is_a_configuration(
+async def test_requests_before_the_first_configuration_are_not_run(
     tmp_path: Path,
 ) -> None:
     async with open_stage(tmp_path) as stage:
@@ -36,7 +36,7 @@
         assert got.problem['type'] == 'urn:cartdale:problem:not-run'
 
 
-async def test_a_cut_caller_resumes_on_another_instance(
+async def test_a_disconnected_caller_resumes_on_another_instance(
     tmp_path: Path,
 ) -> None:
     async with open_stage(tmp_path, instances=2) as stage:
@@ -51,7 +51,7 @@
         assert list(started.values()) == [1]
 
 
-async def test_a_position_is_of_no_use_to_another_customer(
+async def test_a_position_is_rejected_for_another_customer_or_body(
     tmp_path: Path,
 ) -> None:
     async with open_stage(tmp_path) as stage:
@@ -66,12 +66,14 @@
         assert changed.status == 400
 
 
-async def test_a_cut_link_to_the_engine_is_invisible(tmp_path: Path) -> None:
+async def test_a_cut_link_to_the_engine_is_hidden_from_the_caller(
+    tmp_path: Path,
+) -> None:
     async with open_stage(tmp_path) as stage:
         await stage.settle(stage.declare())
         got = Received()
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(_follow, stage, got)
+            nursery.start_soon(_stream_response, stage, got)
             await wait_tokens(got, 20)
             stage.engines[0].faults = EngineFaults(cut_links=True)
             await trio.sleep(0.1)
@@ -80,31 +82,31 @@
         assert got.tokens == expected_tokens(LONG, 400)
 
 
-async def test_a_restarted_engine_is_replaced_when_the_prefix_agrees(
+async def test_a_run_on_another_engine_continues_when_the_prefix_matches(
     tmp_path: Path,
 ) -> None:
     async with open_stage(tmp_path, engines=2) as stage:
         await stage.settle(stage.declare())
         got = Received()
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(_follow, stage, got)
+            nursery.start_soon(_stream_response, stage, got)
             await wait_tokens(got, 20)
-            _forget(stage)
+            _drop_generations(stage)
         assert got.done
         assert got.tokens == expected_tokens(LONG, 400)
         assert len(got.generations) == 2
 
 
-async def test_a_service_without_repeats_ends_early_and_says_so(
+async def test_a_service_without_repeats_reports_an_early_end(
     tmp_path: Path,
 ) -> None:
     async with open_stage(tmp_path, engines=2) as stage:
         await stage.settle(stage.declare(service={'repeat': 'never'}))
         got = Received()
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(_follow, stage, got)
+            nursery.start_soon(_stream_response, stage, got)
             await wait_tokens(got, 20)
-            _forget(stage)
+            _drop_generations(stage)
         assert not got.done
         assert got.problem['type'] == 'urn:cartdale:problem:ended-early'
         assert got.tokens == expected_tokens(LONG, 400)[: len(got.tokens)]
@@ -130,21 +132,21 @@
             streamed = ''.join(
                 chunk.choices[0].delta.content or '' for chunk in chunks
             )
-            whole = client.completions.create(
+            complete = client.completions.create(
                 model='writers', prompt='Hi [length=12]', seed=7
             )
-            return streamed, whole.choices[0].text
+            return streamed, complete.choices[0].text
 
-        streamed, whole = await trio.to_thread.run_sync(call)
+        streamed, complete = await trio.to_thread.run_sync(call)
         assert streamed == ''.join(expected_tokens('user: Hi [length=12]', 12))
-        assert whole == ''.join(expected_tokens('Hi [length=12]', 12))
+        assert complete == ''.join(expected_tokens('Hi [length=12]', 12))
 
 
-async def _follow(stage, got: Received) -> None:
+async def _stream_response(stage, got: Received) -> None:
     await stream(stage, 0, make_body(LONG), received=got)
 
 
-def _forget(stage) -> None:
+def _drop_generations(stage) -> None:
     for engine in stage.engines:
         for generation in tuple(engine.driver.records_by_generation):
             engine.driver.model.cancel(generation)
