--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -118,9 +118,7 @@
     assert decide(state, waiting, 0)[1] == ()
 
 
-def test_refused_connections_lose_an_engine_sooner_than_silence() -> (
-    None
-):
+def test_refused_connections_lose_an_engine_sooner_than_silence() -> None:
     state, _ = decide(streaming(5), NotSent(), 1)
     assert state.link_lost_at == 1
     later = 1 + REFUSING_ENGINE_MS
