--- a/src/cartdale/routing/__init__.py
+++ b/src/cartdale/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Routing: which upstream takes a request, and when."""
+"""Routing: choose the upstream and the start time of each request."""
--- a/src/cartdale/routing/decide.py
+++ b/src/cartdale/routing/decide.py
@@ -1,4 +1,4 @@
-"""Decide where and when each request runs."""
+"""State machine that queues requests and places them on engines."""
 
 from dataclasses import replace
 from typing import assert_never
--- a/src/cartdale/routing/driver.py
+++ b/src/cartdale/routing/driver.py
@@ -1,4 +1,4 @@
-"""Run the routing decisions and let requests wait for them."""
+"""Run the routing state machine and block requests until it decides."""
 
 from dataclasses import dataclass, field
 from typing import assert_never
--- a/src/cartdale/routing/forecast.py
+++ b/src/cartdale/routing/forecast.py
@@ -1,4 +1,4 @@
-"""Forecast an engine's memory from own placements and lagging reports."""
+"""Forecast an engine's memory from own placements and delayed reports."""
 
 import math
 from collections.abc import Iterable
--- a/src/cartdale/routing/lengths.py
+++ b/src/cartdale/routing/lengths.py
@@ -1,8 +1,8 @@
-"""Learn output lengths, and what a generation of known age may still add.
+"""Output length statistics and the remaining length of a generation.
 
-Each shape keeps a sliding window of observed lengths, so that a drift is
-followed; the empirical survival function gives the chance that a
-generation with ``n`` tokens goes on past ``n + h``.
+Each shape keeps a sliding window of observed lengths, so that estimates
+follow a drift. The empirical survival function gives the probability that
+a generation with ``n`` tokens continues past ``n + h``.
 """
 
 from bisect import bisect_right
--- a/src/cartdale/routing/policy.py
+++ b/src/cartdale/routing/policy.py
@@ -1,4 +1,4 @@
-"""Choose an engine: memory-aware, and the baselines it is measured against."""
+"""Choose an engine by the memory-aware policy or a baseline policy."""
 
 import random
 from collections.abc import Mapping
--- a/src/cartdale/routing/queue.py
+++ b/src/cartdale/routing/queue.py
@@ -1,4 +1,4 @@
-"""Order queued work, foresee its wait, and give up on it in time."""
+"""Order queued work, estimate its wait and find missed deadlines."""
 
 import math
 from collections.abc import Iterator
--- a/src/cartdale/routing/types.py
+++ b/src/cartdale/routing/types.py
@@ -1,4 +1,4 @@
-"""Messages, state and actions of the routing slice."""
+"""Messages, state and actions of the routing state machine."""
 
 from dataclasses import dataclass, field
 
--- a/src/cartdale/routing/views.py
+++ b/src/cartdale/routing/views.py
@@ -1,4 +1,4 @@
-"""Keep the views of engines: reports, failures, targets."""
+"""Update engine views from reports, failures and configurations."""
 
 from dataclasses import replace
 
--- a/src/cartdale/streams/__init__.py
+++ b/src/cartdale/streams/__init__.py
@@ -1,1 +1,1 @@
-"""Streams: one answer from an engine to its caller."""
+"""Streams: deliver one streamed response from an engine to its caller."""
--- a/src/cartdale/streams/answers.py
+++ b/src/cartdale/streams/answers.py
@@ -1,4 +1,4 @@
-"""What a delivery is asked for, and what it gives to the caller."""
+"""Input of a delivery, and the items that it yields to the caller."""
 
 from dataclasses import dataclass
 
--- a/src/cartdale/streams/chunks.py
+++ b/src/cartdale/streams/chunks.py
@@ -1,4 +1,4 @@
-"""Read the text of a streamed completion chunk."""
+"""Decode streamed completion chunks."""
 
 from dataclasses import dataclass, field
 
--- a/src/cartdale/streams/decide.py
+++ b/src/cartdale/streams/decide.py
@@ -1,4 +1,4 @@
-"""Decide how one answer reaches its caller whole, once and in order."""
+"""State machine that delivers a response completely, once and in order."""
 
 from bisect import bisect_right
 from dataclasses import replace
--- a/src/cartdale/streams/driver.py
+++ b/src/cartdale/streams/driver.py
@@ -1,4 +1,4 @@
-"""Carry out one answer's delivery: place, link, compare, resume."""
+"""Run the delivery of one response: place, stream, compare and resume."""
 
 from dataclasses import replace
 from typing import assert_never
--- a/src/cartdale/streams/link.py
+++ b/src/cartdale/streams/link.py
@@ -1,4 +1,4 @@
-"""Link: one open stream from an engine, read into a bounded mailbox."""
+"""Read one open stream from an engine into a bounded buffer."""
 
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
--- a/src/cartdale/streams/ports.py
+++ b/src/cartdale/streams/ports.py
@@ -1,4 +1,4 @@
-"""What every delivery works with."""
+"""Dependencies shared by all deliveries of an instance."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
--- a/src/cartdale/streams/position.py
+++ b/src/cartdale/streams/position.py
@@ -1,9 +1,9 @@
-"""Resume positions: what a caller hands back to continue an answer.
+"""Resume positions: event ids with which a caller continues a response.
 
-A position names the generation, its engine and customer under a message
-authentication code, and carries the number of tokens delivered with a
-digest of their chunks, so that any instance can continue without a shared
-store and a repeated run can be compared with what was delivered.
+A position contains the generation, its engine and customer under a message
+authentication code, the number of delivered tokens and a digest of their
+chunks. Any instance can therefore continue the response without a shared
+store, and can compare a repeated run with the delivered chunks.
 """
 
 import hashlib
--- a/src/cartdale/streams/types.py
+++ b/src/cartdale/streams/types.py
@@ -1,4 +1,4 @@
-"""Messages, state and actions of one answer's delivery."""
+"""Messages, state and actions of the delivery state machine."""
 
 from dataclasses import dataclass
 from enum import StrEnum
--- a/tests/test_resumable.py
+++ b/tests/test_resumable.py
@@ -1,4 +1,4 @@
-"""Streams that any engine may take up again after the last event."""
+"""Streams of resumable routes continue on any engine after the last event."""
 
 import httpx
 import trio
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""Routing: memory is promised once, nobody starves, refusals are at once."""
+"""Routing: no memory overcommit, no starvation, immediate refusals."""
 
 from dataclasses import replace
 
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -1,4 +1,4 @@
-"""Delivery decisions: once, in order, one generation, truthful ends."""
+"""Delivery state machine: chunks once and in order, correct final problems."""
 
 import random
 from dataclasses import replace
--- a/tests/test_streams_end_to_end.py
+++ b/tests/test_streams_end_to_end.py
@@ -1,4 +1,4 @@
-"""Answers reach their caller complete, over real sockets."""
+"""Streamed responses arrive complete despite faults, over real sockets."""
 
 from pathlib import Path
 
