--- a/bench/scale.py
+++ b/bench/scale.py
@@ -37,7 +37,7 @@
 from cartdale.ledger.decide import decide as decide_claim
 from cartdale.ledger.types import Claim, SlotState
 from cartdale.limits.decide import lend
-from cartdale.limits.types import Borrow, KeeperState, Loan, Rate
+from cartdale.limits.types import Borrow, BucketOwnerState, Loan, Rate
 from cartdale.membership.decide import decide as decide_membership
 from cartdale.membership.decide import list_alive, select_news
 from cartdale.membership.types import (
@@ -321,8 +321,8 @@
 
 
 def time_loans(accounts: int) -> float:
-    """Processor time of a loan at the keeper of some accounts."""
-    state = KeeperState()
+    """Processor time of a loan at the owner of some accounts."""
+    state = BucketOwnerState()
     rate = Rate(100, 100)
     for number in range(accounts):
         state = lend(state, Borrow(f'c{number}', 1), rate, 0)[0]
--- a/src/cartdale/limits/__init__.py
+++ b/src/cartdale/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Limits: shares of customers, held across instances."""
+"""Limits: request rates of customers and services across instances."""
--- a/src/cartdale/limits/decide.py
+++ b/src/cartdale/limits/decide.py
@@ -1,9 +1,10 @@
-"""Decide loans, spending, and what holds while a keeper is silent.
+"""Lend credits, spend them, and limit requests without the bucket owner.
 
-Worst case over the bucket: credits already lent when a keeper changes
-(at most ``LOAN_LIMIT`` for each instance, void after ``CREDIT_LIFE_MS``),
-one second's rate for the new keeper's first bucket, and, for instances
-that reach no keeper, one more rate split over the members that they see.
+The rate may be exceeded, at most, by the credits already lent when the
+bucket owner changes (up to ``MAX_LOAN_CREDITS`` per instance, expiring
+after ``CREDIT_LIFETIME_MS``), by one second's rate in the new owner's first
+bucket, and, at instances that reach no owner, by one more rate divided
+among the members that they see.
 """
 
 import math
@@ -11,109 +12,120 @@
 
 from cartdale.clock import SECOND_MS, Millis
 from cartdale.limits.types import (
-    CREDIT_LIFE_MS,
-    LOAN_LIMIT,
-    LOAN_MS,
+    CREDIT_LIFETIME_MS,
+    LOAN_DEMAND_MS,
+    MAX_LOAN_CREDITS,
     Borrow,
+    BorrowedCredits,
+    BorrowerState,
     Bucket,
-    KeeperState,
+    BucketOwnerState,
     Loan,
-    Purse,
     Rate,
-    SpenderState,
 )
 
 _DEMAND_WINDOW: Millis = 2 * SECOND_MS
 
 
 def lend(
-    state: KeeperState, asked: Borrow, rate: Rate, now: Millis
-) -> tuple[KeeperState, Loan]:
-    """Grant as many of the wanted credits as the bucket holds."""
-    bucket = _fill(state.buckets_by_account.get(asked.account), rate, now)
-    wanted = min(asked.wanted, LOAN_LIMIT)
+    state: BucketOwnerState, request: Borrow, rate: Rate, now: Millis
+) -> tuple[BucketOwnerState, Loan]:
+    """Grant as many of the requested credits as the bucket holds."""
+    bucket = _fill(state.buckets_by_account.get(request.account), rate, now)
+    wanted = min(request.wanted, MAX_LOAN_CREDITS)
     granted = min(wanted, int(bucket.tokens))
-    left = replace(bucket, tokens=bucket.tokens - granted)
-    after = _keep(state, asked.account, left)
+    remaining = replace(bucket, tokens=bucket.tokens - granted)
+    after = _store_bucket(state, request.account, remaining)
     if granted:
         return after, Loan(granted, 0)
-    missing = 1 - bucket.tokens
-    wait = math.ceil(missing / rate.per_second * SECOND_MS)
+    missing_tokens = 1 - bucket.tokens
+    wait = math.ceil(missing_tokens / rate.per_second * SECOND_MS)
     return after, Loan(0, wait)
 
 
 def spend(
-    state: SpenderState, account: str, now: Millis
-) -> tuple[SpenderState, bool]:
-    """Take one credit from the purse, if there is a valid one."""
-    purse = _note_demand(state.purses_by_account.get(account, Purse()), now)
-    paid = purse.credits > 0 and now <= purse.expires_at
+    state: BorrowerState, account: str, now: Millis
+) -> tuple[BorrowerState, bool]:
+    """Spend one borrowed credit, if one is left that has not expired."""
+    borrowed = _note_demand(
+        state.credits_by_account.get(account, BorrowedCredits()), now
+    )
+    paid = borrowed.credits > 0 and now <= borrowed.expires_at
     if paid:
-        purse = replace(purse, credits=purse.credits - 1)
-    return _pocket(state, account, purse), paid
+        borrowed = replace(borrowed, credits=borrowed.credits - 1)
+    return _store_credits(state, account, borrowed), paid
 
 
-def choose_loan(state: SpenderState, account: str, now: Millis) -> Borrow:
-    """Ask for what the next moments will need, at least one."""
-    purse = state.purses_by_account.get(account, Purse())
-    elapsed = max(LOAN_MS, now - purse.asked_since)
-    wanted = math.ceil(purse.asked * LOAN_MS / elapsed)
-    return Borrow(account, max(1, min(LOAN_LIMIT, wanted)))
+def make_loan_request(
+    state: BorrowerState, account: str, now: Millis
+) -> Borrow:
+    """Return a request for the forecast demand, at least one credit."""
+    borrowed = state.credits_by_account.get(account, BorrowedCredits())
+    elapsed = max(LOAN_DEMAND_MS, now - borrowed.counted_since)
+    wanted = math.ceil(borrowed.recent_requests * LOAN_DEMAND_MS / elapsed)
+    return Borrow(account, max(1, min(MAX_LOAN_CREDITS, wanted)))
 
 
-def receive(
-    state: SpenderState, account: str, loan: Loan, now: Millis
-) -> SpenderState:
-    """Put a loan into the purse; one credit pays the request at hand."""
-    purse = state.purses_by_account.get(account, Purse())
+def receive_loan(
+    state: BorrowerState, account: str, loan: Loan, now: Millis
+) -> BorrowerState:
+    """Store a loan; one of its credits pays for the current request."""
+    borrowed = state.credits_by_account.get(account, BorrowedCredits())
     filled = replace(
-        purse,
+        borrowed,
         credits=max(0, loan.credits - 1),
-        expires_at=now + CREDIT_LIFE_MS,
+        expires_at=now + CREDIT_LIFETIME_MS,
     )
-    return _pocket(state, account, filled)
+    return _store_credits(state, account, filled)
 
 
-def spend_alone(
-    state: SpenderState,
+def spend_without_owner(
+    state: BorrowerState,
     account: str,
     rate: Rate,
     members: int,
     now: Millis,
-) -> tuple[SpenderState, Loan]:
-    """Decide without a keeper, from this instance's part of the rate.
+) -> tuple[BorrowerState, Loan]:
+    """Admit a request from this instance's share of the rate.
+
+    Used while the bucket owner is unreachable.
 
-    :param members: instances believed to be alive.
+    :param members: number of instances assumed to be alive.
     """
-    part = Rate(
+    own_rate = Rate(
         rate.per_second / max(1, members),
         max(1, rate.burst / max(1, members)),
     )
-    fallback, loan = lend(state.fallback, Borrow(account, 1), part, now)
+    fallback, loan = lend(state.fallback, Borrow(account, 1), own_rate, now)
     return replace(state, fallback=fallback), loan
 
 
 def _fill(bucket: Bucket | None, rate: Rate, now: Millis) -> Bucket:
     if bucket is None:
-        # A keeper that is new may follow one whose bucket was empty.
+        # The bucket of the previous owner may have been empty, so a new
+        # owner starts with one second's rate and not with the burst.
         return Bucket(max(1, min(rate.burst, rate.per_second)), now)
     gained = rate.per_second * (now - bucket.filled_at) / SECOND_MS
     return Bucket(min(rate.burst, bucket.tokens + gained), now)
 
 
-def _note_demand(purse: Purse, now: Millis) -> Purse:
-    if now - purse.asked_since > _DEMAND_WINDOW:
-        return replace(purse, asked=1, asked_since=now)
-    return replace(purse, asked=purse.asked + 1)
+def _note_demand(borrowed: BorrowedCredits, now: Millis) -> BorrowedCredits:
+    if now - borrowed.counted_since > _DEMAND_WINDOW:
+        return replace(borrowed, recent_requests=1, counted_since=now)
+    return replace(borrowed, recent_requests=borrowed.recent_requests + 1)
 
 
-def _keep(state: KeeperState, account: str, bucket: Bucket) -> KeeperState:
+def _store_bucket(
+    state: BucketOwnerState, account: str, bucket: Bucket
+) -> BucketOwnerState:
     buckets_by_account = dict(state.buckets_by_account)
     buckets_by_account[account] = bucket
-    return KeeperState(buckets_by_account)
+    return BucketOwnerState(buckets_by_account)
 
 
-def _pocket(state: SpenderState, account: str, purse: Purse) -> SpenderState:
-    purses_by_account = dict(state.purses_by_account)
-    purses_by_account[account] = purse
-    return replace(state, purses_by_account=purses_by_account)
+def _store_credits(
+    state: BorrowerState, account: str, borrowed: BorrowedCredits
+) -> BorrowerState:
+    credits_by_account = dict(state.credits_by_account)
+    credits_by_account[account] = borrowed
+    return replace(state, credits_by_account=credits_by_account)
--- a/src/cartdale/limits/driver.py
+++ b/src/cartdale/limits/driver.py
@@ -1,21 +1,21 @@
-"""Ask the keeper of an account before a request runs."""
+"""Check rate limits with the bucket owner before a request runs."""
 
 from returns.result import Success
 
 from cartdale.clock import Clock
 from cartdale.limits.decide import (
-    choose_loan,
     lend,
-    receive,
+    make_loan_request,
+    receive_loan,
     spend,
-    spend_alone,
+    spend_without_owner,
 )
 from cartdale.limits.types import (
     Borrow,
-    KeeperState,
+    BorrowerState,
+    BucketOwnerState,
     Loan,
     Rate,
-    SpenderState,
 )
 from cartdale.membership.driver import Membership
 from cartdale.membership.types import MemberNews, PeerSilent
@@ -25,7 +25,7 @@
 
 
 class Limiter:
-    """Hold this instance's part of all limits."""
+    """Own buckets and borrowed credits of this instance."""
 
     def __init__(
         self, membership: Membership, peers: PeerClient, clock: Clock
@@ -34,66 +34,72 @@
         self._peers = peers
         self._clock = clock
         self._rates_by_account: dict[str, Rate] = {}
-        self._keeper = KeeperState()
-        self._spender = SpenderState()
+        self._owner_state = BucketOwnerState()
+        self._borrower_state = BorrowerState()
 
     def set_rates(self, rates_by_account: dict[str, Rate]) -> None:
-        """Take the limits of a configuration that came in force."""
+        """Apply the limits of a configuration that became active."""
         self._rates_by_account = rates_by_account
 
     async def admit(self, account: str) -> Loan:
         """Decide whether one request may run now.
 
-        :returns: a loan with one credit, or with none and the wait.
+        :returns: a loan of one credit, or of none with the retry time.
         """
         rate = self._rates_by_account.get(account)
         if rate is None:
             return Loan(1, 0)
-        after, paid = spend(self._spender, account, self._clock.now())
-        self._spender = after
+        after, paid = spend(self._borrower_state, account, self._clock.now())
+        self._borrower_state = after
         if paid:
             return Loan(1, 0)
         return await self._borrow(account, rate)
 
-    def lend(self, asked: Borrow) -> Loan:
-        """Answer a borrower as the keeper of the account."""
-        rate = self._rates_by_account.get(asked.account)
+    def lend(self, request: Borrow) -> Loan:
+        """Lend credits to another instance as the owner of the bucket."""
+        rate = self._rates_by_account.get(request.account)
         if rate is None:
-            return Loan(asked.wanted, 0)
-        after, loan = lend(self._keeper, asked, rate, self._clock.now())
-        self._keeper = after
+            return Loan(request.wanted, 0)
+        after, loan = lend(self._owner_state, request, rate, self._clock.now())
+        self._owner_state = after
         return loan
 
     async def _borrow(self, account: str, rate: Rate) -> Loan:
-        asked = choose_loan(self._spender, account, self._clock.now())
+        request = make_loan_request(
+            self._borrower_state, account, self._clock.now()
+        )
         ranked = self._membership.rank(f'{_ACCOUNT_PREFIX}{account}')
         own = self._membership.state.own.name
         if not ranked or ranked[0].name == own:
-            # Lending to itself, one at a time keeps the bucket exact.
+            # At the owner itself, single credits keep the bucket exact.
             return self.lend(Borrow(account, 1))
-        loan = await self._ask(ranked[0], asked)
+        loan = await self._request_loan(ranked[0], request)
         if loan is None:
-            return self._alone(account, rate, len(ranked))
+            return self._spend_without_owner(account, rate, len(ranked))
         if loan.credits:
-            self._spender = receive(
-                self._spender, account, loan, self._clock.now()
+            self._borrower_state = receive_loan(
+                self._borrower_state, account, loan, self._clock.now()
             )
         return loan
 
-    async def _ask(self, keeper: MemberNews, asked: Borrow) -> Loan | None:
+    async def _request_loan(
+        self, owner: MemberNews, request: Borrow
+    ) -> Loan | None:
         answer = await self._peers.request(
-            keeper.name, keeper.address, asked, Loan
+            owner.name, owner.address, request, Loan
         )
         match answer:
             case Success(loan):
                 granted: Loan = loan
                 return granted
-        self._membership.dispatch(PeerSilent(keeper.name))
+        self._membership.dispatch(PeerSilent(owner.name))
         return None
 
-    def _alone(self, account: str, rate: Rate, members: int) -> Loan:
-        after, loan = spend_alone(
-            self._spender, account, rate, members, self._clock.now()
+    def _spend_without_owner(
+        self, account: str, rate: Rate, members: int
+    ) -> Loan:
+        after, loan = spend_without_owner(
+            self._borrower_state, account, rate, members, self._clock.now()
         )
-        self._spender = after
+        self._borrower_state = after
         return loan
--- a/src/cartdale/limits/rates.py
+++ b/src/cartdale/limits/rates.py
@@ -1,4 +1,4 @@
-"""Derive the accounts and their rates from the declarations."""
+"""Derive accounts and their rates from the declarations."""
 
 from cartdale.declarations.types import Declarations, Limits
 from cartdale.limits.types import Rate
@@ -11,14 +11,16 @@
     """Return the rate of every account that has a limit."""
     rates_by_account: dict[str, Rate] = {}
     for name, customer in declared.customers.items():
-        _note(rates_by_account, f'{CUSTOMER_ACCOUNT}{name}', customer.limits)
+        _add_rate(
+            rates_by_account, f'{CUSTOMER_ACCOUNT}{name}', customer.limits
+        )
     for service_name, service in declared.services.items():
         account = f'{SERVICE_ACCOUNT}{service_name}'
-        _note(rates_by_account, account, service.limits)
+        _add_rate(rates_by_account, account, service.limits)
     return rates_by_account
 
 
-def _note(
+def _add_rate(
     rates_by_account: dict[str, Rate], account: str, limits: Limits
 ) -> None:
     if limits.requests_per_second:
--- a/src/cartdale/limits/types.py
+++ b/src/cartdale/limits/types.py
@@ -1,24 +1,24 @@
-"""Messages and state of limits that are held across instances.
+"""Messages and state of rate limits across instances.
 
-One instance, preferred by rendezvous hashing, keeps the token bucket of an
-account; the others borrow credits from it and spend them locally.
+One instance, chosen by rendezvous hashing, owns the token bucket of an
+account. The others borrow credits from it and spend them locally.
 """
 
 from dataclasses import dataclass, field
 
 from cartdale.clock import SECOND_MS, Millis
 
-#: Credits not spent by then are void.
-CREDIT_LIFE_MS: Millis = SECOND_MS
-#: Demand covered by one loan.
-LOAN_MS: Millis = 500
-#: Most credits in one loan.
-LOAN_LIMIT = 64
+#: Time after which unspent credits expire.
+CREDIT_LIFETIME_MS: Millis = SECOND_MS
+#: Duration of the demand that one loan covers.
+LOAN_DEMAND_MS: Millis = 500
+#: Maximum number of credits in one loan.
+MAX_LOAN_CREDITS = 64
 
 
 @dataclass(frozen=True, slots=True)
 class Rate:
-    """Bound an account.
+    """Rate limit of an account.
 
     :param per_second: sustained rate.
     :param burst: size of the bucket.
@@ -30,46 +30,47 @@
 
 @dataclass(frozen=True, slots=True)
 class Bucket:
-    """Hold a token bucket as of a moment."""
+    """Token bucket with its content at ``filled_at``."""
 
     tokens: float
     filled_at: Millis
 
 
 @dataclass(frozen=True, slots=True)
-class KeeperState:
-    """Hold the buckets of the accounts that are kept here."""
+class BucketOwnerState:
+    """Buckets of the accounts that this instance owns."""
 
     buckets_by_account: dict[str, Bucket] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
-class Purse:
-    """Hold borrowed credits of one account.
+class BorrowedCredits:
+    """Borrowed credits of one account.
 
-    :param asked: requests since ``asked_since``, to foresee demand.
+    :param recent_requests: requests since ``counted_since``; forecasts
+        demand.
     """
 
     credits: int = 0
     expires_at: Millis = 0
-    asked: int = 0
-    asked_since: Millis = 0
+    recent_requests: int = 0
+    counted_since: Millis = 0
 
 
 @dataclass(frozen=True, slots=True)
-class SpenderState:
-    """Hold the purses, and the buckets used when a keeper is silent."""
+class BorrowerState:
+    """Borrowed credits, and the buckets used while an owner is silent."""
 
-    purses_by_account: dict[str, Purse] = field(default_factory=dict)
-    fallback: KeeperState = field(default_factory=KeeperState)
+    credits_by_account: dict[str, BorrowedCredits] = field(default_factory=dict)
+    fallback: BucketOwnerState = field(default_factory=BucketOwnerState)
 
 
 @dataclass(frozen=True, slots=True)
 class Loan:
-    """Answer a borrower.
+    """Credits granted to a borrower.
 
-    :param credits: granted requests; 0 when the limit is reached.
-    :param retry_after: when one credit will be there, if none is now.
+    :param credits: granted requests; 0 if the limit is reached.
+    :param retry_after: time until a credit is available, if none is now.
     """
 
     credits: int
@@ -78,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Borrow:
-    """Ask the keeper of an account for credits."""
+    """Request credits from the bucket owner of an account."""
 
     account: str
     wanted: int
--- a/src/cartdale/retries/__init__.py
+++ b/src/cartdale/retries/__init__.py
@@ -1,1 +1,1 @@
-"""Retries: budgets that keep them from amplifying an outage."""
+"""Retries: budgets that prevent retries from amplifying an outage."""
--- a/src/cartdale/retries/decide.py
+++ b/src/cartdale/retries/decide.py
@@ -1,64 +1,69 @@
-"""Decide whether a failed attempt may be made again.
+"""Retry budget: decide whether a failed attempt may be retried.
 
-Every first attempt earns its customer and its upstream a part of a retry;
-a retry costs one of each. When most attempts fail, retries are therefore
-at most ``EARNED`` of the first attempts, plus the reserve.
+Each first attempt credits its customer and its upstream with a fraction of
+a retry; a retry costs one credit of each. When most attempts fail, retries
+are therefore limited to ``RETRY_CREDIT_PER_ATTEMPT`` of the first attempts
+plus the initial credit.
 """
 
 from dataclasses import dataclass, field
 
-#: Part of a retry earned by each first attempt.
-EARNED = 0.1
-#: Retries that may be saved up, and that a new account begins with.
-RESERVE = 10
+#: Fraction of a retry that each first attempt credits.
+RETRY_CREDIT_PER_ATTEMPT = 0.1
+#: Maximum credits of an account, and the initial credits of a new one.
+MAX_RETRY_CREDIT = 10
 
 
 @dataclass(frozen=True, slots=True)
 class RetryState:
-    """Hold what each account has left; accounts are customers, upstreams."""
+    """Retry credits of each account; an account is a customer or upstream."""
 
-    saved_by_account: dict[str, float] = field(default_factory=dict)
+    credits_by_account: dict[str, float] = field(default_factory=dict)
 
 
 def earn(state: RetryState, accounts: tuple[str, ...]) -> RetryState:
-    """Count a first attempt."""
-    saved_by_account = dict(state.saved_by_account)
+    """Credit the accounts for a first attempt."""
+    credits_by_account = dict(state.credits_by_account)
     for account in accounts:
-        saved = saved_by_account.get(account, RESERVE)
-        saved_by_account[account] = min(RESERVE, saved + EARNED)
-    return RetryState(saved_by_account)
+        credit = credits_by_account.get(account, MAX_RETRY_CREDIT)
+        credits_by_account[account] = min(
+            MAX_RETRY_CREDIT, credit + RETRY_CREDIT_PER_ATTEMPT
+        )
+    return RetryState(credits_by_account)
 
 
 def withdraw(
     state: RetryState, accounts: tuple[str, ...]
 ) -> tuple[RetryState, bool]:
-    """Pay for a retry from every account, or from none.
+    """Charge a retry to all accounts, or to none.
 
-    :returns: the next state, and whether the retry may be made.
+    :returns: the next state, and whether the retry is allowed.
     """
     for account in accounts:
-        if state.saved_by_account.get(account, RESERVE) < 1:
+        if state.credits_by_account.get(account, MAX_RETRY_CREDIT) < 1:
             return state, False
-    saved_by_account = dict(state.saved_by_account)
-    for paying in accounts:
-        saved_by_account[paying] = saved_by_account.get(paying, RESERVE) - 1
-    return RetryState(saved_by_account), True
+    credits_by_account = dict(state.credits_by_account)
+    for charged in accounts:
+        credits_by_account[charged] = (
+            credits_by_account.get(charged, MAX_RETRY_CREDIT) - 1
+        )
+    return RetryState(credits_by_account), True
 
 
 class RetryBudget:
-    """Hold the retry budgets of one instance."""
+    """Retry budget of one instance."""
 
     def __init__(self) -> None:
         self._state = RetryState()
 
     def earn(self, customer: str, upstream: str) -> None:
-        """Count a first attempt."""
+        """Credit the accounts for a first attempt."""
         self._state = earn(self._state, _accounts(customer, upstream))
 
     def withdraw(self, customer: str, upstream: str) -> bool:
-        """Pay for a retry, if both can.
+        """Charge a retry to both accounts, if both have enough credit.
 
-        :param upstream: the one that failed.
+        :param upstream: the upstream on which the attempt failed.
         """
         after, paid = withdraw(self._state, _accounts(customer, upstream))
         self._state = after
--- a/src/cartdale/retries/window.py
+++ b/src/cartdale/retries/window.py
@@ -1,21 +1,22 @@
-"""Budget repeats by what was sent in a sliding window.
+"""Limit repeats in proportion to the requests in a sliding window.
 
-The bound holds for all instances together and there is no central counter:
-each takes the ratio of its own requests, and an equal part of the slack.
+The limit applies to all instances together, without a central counter: each
+instance applies the ratio to its own requests and gets an equal share of
+the slack.
 """
 
 from collections import deque
 
 from cartdale.clock import Millis
 
-#: Part of the bound that is used; windows elsewhere lie a little otherwise.
+#: Usable share of the limit, since the windows of other instances are offset.
 _USED_SHARE = 0.8
 
 
 class RepeatWindow:
-    """Count the requests and repeats of one service at one instance.
+    """Requests and repeats of one service at one instance.
 
-    :param ratio: repeats allowed for each request.
+    :param ratio: repeats allowed per request.
     :param span: length of the window, in milliseconds.
     """
 
@@ -26,16 +27,16 @@
         self._repeats: deque[Millis] = deque()
 
     def count(self, now: Millis) -> None:
-        """Count a first send."""
-        self._forget(now)
+        """Count the first send of a request."""
+        self._drop_expired(now)
         self._requests.append(now)
 
     def withdraw(self, slack: float, now: Millis) -> bool:
-        """Pay for a repeat, if the window allows one.
+        """Count a repeat and return ``True``, if the window allows one.
 
-        :param slack: repeats allowed on top of the ratio.
+        :param slack: repeats allowed in addition to the ratio.
         """
-        self._forget(now)
+        self._drop_expired(now)
         allowed = self._ratio * len(self._requests) + slack
         if len(self._repeats) + 1 > _USED_SHARE * allowed:
             return False
@@ -43,20 +44,20 @@
         return True
 
     def bound(self, ratio: float, span: Millis) -> None:
-        """Change the bound; what was counted stays."""
+        """Change the limit; keep the counts."""
         self._ratio = ratio
         self._span = span
 
-    def _forget(self, now: Millis) -> None:
+    def _drop_expired(self, now: Millis) -> None:
         for times in (self._requests, self._repeats):
             while times and now - times[0] > self._span:
                 times.popleft()
 
 
 class RepeatBudget:
-    """Hold the windows of all services at one instance.
+    """Windows of all services at one instance.
 
-    :param slack: repeats allowed on top, in all instances together.
+    :param slack: additional repeats allowed, for all instances together.
     """
 
     def __init__(self, ratio: float, slack: float, span: Millis) -> None:
@@ -68,17 +69,17 @@
         self.participant_count = 1
 
     def count(self, service: str, now: Millis) -> None:
-        """Count a first send to a service."""
+        """Count the first send of a request to a service."""
         self._window(service).count(now)
 
     def withdraw(self, service: str, now: Millis) -> bool:
-        """Pay for a repeat at a service, if the budget allows one."""
+        """Count a repeat and return ``True``, if the budget allows one."""
         return self._window(service).withdraw(
             self._slack / max(self.participant_count, 1), now
         )
 
     def bound(self, ratio: float, slack: float, span: Millis) -> None:
-        """Change the bound; what was counted stays."""
+        """Change the limit; keep the counts."""
         self._ratio = ratio
         self._slack = slack
         self._span = span
--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -1,4 +1,4 @@
-"""Membership, limits, retries, cells: what instances share."""
+"""Membership, limits, retries, placement groups and peer authentication."""
 
 from dataclasses import replace
 
@@ -14,18 +14,18 @@
     UpstreamKind,
 )
 from cartdale.limits.decide import (
-    choose_loan,
     lend,
-    receive,
+    make_loan_request,
+    receive_loan,
     spend,
-    spend_alone,
+    spend_without_owner,
 )
 from cartdale.limits.types import (
-    LOAN_LIMIT,
+    MAX_LOAN_CREDITS,
     Borrow,
-    KeeperState,
+    BorrowerState,
+    BucketOwnerState,
     Rate,
-    SpenderState,
 )
 from cartdale.membership.decide import (
     decide,
@@ -55,8 +55,8 @@
     derive_placement_groups,
 )
 from cartdale.retries.decide import (
-    EARNED,
-    RESERVE,
+    MAX_RETRY_CREDIT,
+    RETRY_CREDIT_PER_ATTEMPT,
     RetryState,
     earn,
     withdraw,
@@ -81,7 +81,7 @@
     return {news.name for news in list_alive(state, now)}
 
 
-def test_a_silent_member_is_not_alive_and_returns() -> None:
+def test_a_silent_member_is_not_alive_until_its_next_news() -> None:
     state = make_members(3)
     later = silence_limit(state) + 1
     assert alive(state, later) == {'n0'}
@@ -90,7 +90,7 @@
     assert alive(state, later) == {'n0', 'n1'}
 
 
-def test_old_news_does_not_revive() -> None:
+def test_old_news_does_not_mark_a_member_alive() -> None:
     state = make_members(2)
     later = silence_limit(state) + 1
     state, _ = decide(state, NewsReceived((make_news(9), make_news(1))), later)
@@ -102,22 +102,24 @@
     leaving = make_news(1, beat=2, status=MemberStatus.LEAVING)
     state, _ = decide(state, NewsReceived((leaving,)), 0)
     assert alive(state) == {'n0'}
-    state, tells = decide(state, OwnLeaving(), 0)
+    state, sends = decide(state, OwnLeaving(), 0)
     assert alive(state) == set()
-    assert tells[0].news[0].status is MemberStatus.LEAVING
+    assert sends[0].news[0].status is MemberStatus.LEAVING
 
 
-def test_a_failed_call_suspects_until_it_answers() -> None:
+def test_a_failed_call_excludes_a_member_until_its_own_news() -> None:
     state = make_members(3)
     state, _ = decide(state, PeerSilent('n1'), 0)
     assert 'n1' not in alive(state)
     state, _ = decide(state, NewsReceived((make_news(2), make_news(1))), 0)
-    assert 'n1' not in alive(state), 'hearsay does not clear a suspicion'
+    assert 'n1' not in alive(state), (
+        'news passed on by another member must not end the suspicion'
+    )
     state, _ = decide(state, NewsReceived((make_news(1),)), 0)
     assert 'n1' in alive(state)
 
 
-def test_the_platforms_list_introduces_and_forgets() -> None:
+def test_the_platform_list_adds_and_removes_members() -> None:
     state = make_members(2)
     listed = ListedInstance('n5', 'http://h5', 'd', 'r', 'live')
     state, _ = decide(state, ListRead((listed,)), 0)
@@ -133,14 +135,14 @@
     assert news[0].name == 'n0'
 
 
-def test_adoption_is_told_at_once_to_more_peers() -> None:
-    state, tells = decide(make_members(100), RevisionAdopted(7, 3), 0)
-    assert len(tells) == URGENT_FANOUT
-    assert tells[0].news[0].revision == 7
+def test_an_adopted_revision_is_sent_immediately_to_more_peers() -> None:
+    state, sends = decide(make_members(100), RevisionAdopted(7, 3), 0)
+    assert len(sends) == URGENT_FANOUT
+    assert sends[0].news[0].revision == 7
     assert len(decide(state, RoundBegan(), 0)[1]) < URGENT_FANOUT
 
 
-def test_a_lost_name_moves_only_its_keys() -> None:
+def test_a_removed_name_moves_only_its_keys() -> None:
     names = [f'n{number}' for number in range(10)]
     keys = [f'k{number}' for number in range(200)]
     before = {key: prefer_name(key, names) for key in keys}
@@ -157,63 +159,63 @@
 @given(
     st.lists(st.tuples(st.integers(0, 400), st.integers(1, 100)), max_size=80),
 )
-def test_a_keeper_never_lends_more_than_the_rate(
+def test_a_bucket_owner_never_lends_more_than_the_rate(
     asked: list[tuple[int, int]],
 ) -> None:
-    state, now, lent = KeeperState(), 0, 0
+    state, now, lent = BucketOwnerState(), 0, 0
     for step, wanted in asked:
         now += step
         state, loan = lend(state, Borrow('c', wanted), RATE, now)
         lent += loan.credits
-        assert loan.credits <= LOAN_LIMIT
+        assert loan.credits <= MAX_LOAN_CREDITS
         assert loan.credits or loan.retry_after > 0
     assert lent <= RATE.burst + RATE.per_second * now / 1000
 
 
-def test_a_purse_is_spent_once_and_expires() -> None:
-    state, paid = spend(SpenderState(), 'c', 0)
+def test_borrowed_credits_are_spent_once_and_expire() -> None:
+    state, paid = spend(BorrowerState(), 'c', 0)
     assert not paid
-    state = receive(
-        state, 'c', lend(KeeperState(), Borrow('c', 3), RATE, 0)[1], 0
+    state = receive_loan(
+        state, 'c', lend(BucketOwnerState(), Borrow('c', 3), RATE, 0)[1], 0
     )
     state, first = spend(state, 'c', 1)
     state, second = spend(state, 'c', 2)
     assert (first, second) == (True, True)
     assert spend(state, 'c', 3)[1] is False
-    fresh = receive(
-        state, 'c', lend(KeeperState(), Borrow('c', 3), RATE, 0)[1], 0
+    fresh = receive_loan(
+        state, 'c', lend(BucketOwnerState(), Borrow('c', 3), RATE, 0)[1], 0
     )
     assert spend(fresh, 'c', 10_000)[1] is False
 
 
-def test_demand_sets_the_size_of_a_loan() -> None:
-    state = SpenderState()
+def test_demand_determines_the_size_of_a_loan() -> None:
+    state = BorrowerState()
     for now in range(0, 1000, 20):
         state, _ = spend(state, 'c', now)
-    assert choose_loan(state, 'c', 1000).wanted > 10
-    assert choose_loan(SpenderState(), 'c', 0).wanted == 1
+    assert make_loan_request(state, 'c', 1000).wanted > 10
+    assert make_loan_request(BorrowerState(), 'c', 0).wanted == 1
 
 
-def test_instances_without_a_keeper_split_the_rate() -> None:
+def test_instances_without_a_bucket_owner_split_the_rate() -> None:
     members, allowed = 8, 0
     for _ in range(members):
-        state = SpenderState()
+        state = BorrowerState()
         for now in range(0, 10_000, 10):
-            state, loan = spend_alone(state, 'c', RATE, members, now)
+            state, loan = spend_without_owner(state, 'c', RATE, members, now)
             allowed += loan.credits
     assert allowed <= members * max(1, RATE.burst / members) + 10 * 10 + members
 
 
-def test_retries_are_a_part_of_first_attempts() -> None:
+def test_retries_are_a_share_of_first_attempts() -> None:
     state, retried = RetryState(), 0
     for _ in range(1000):
         state = earn(state, ('customer:c', 'upstream:u'))
         state, allowed = withdraw(state, ('customer:c', 'upstream:u'))
         retried += allowed
-    assert retried <= RESERVE + 1000 * EARNED
+    assert retried <= MAX_RETRY_CREDIT + 1000 * RETRY_CREDIT_PER_ATTEMPT
 
 
-def test_a_retry_costs_all_or_nothing() -> None:
+def test_a_retry_is_paid_by_all_accounts_or_none() -> None:
     state = RetryState({'a': 0.5, 'b': 5})
     after, allowed = withdraw(state, ('a', 'b'))
     assert not allowed
@@ -235,7 +237,7 @@
     assert sizes[-1] - sizes[0] <= 1
 
 
-def seal_one(authenticator: Authenticator, wall: int) -> bytes:
+def sign_message(authenticator: Authenticator, wall: int) -> bytes:
     import msgspec
 
     body = msgspec.Raw(msgspec.msgpack.encode(1))
@@ -245,7 +247,7 @@
 @pytest.mark.parametrize('position', [0, 8, 20, -1])
 def test_a_changed_message_is_refused(position: int) -> None:
     authenticator = Authenticator((b'new', b'old'))
-    signed = bytearray(seal_one(Authenticator((b'old',)), 1000))
+    signed = bytearray(sign_message(Authenticator((b'old',)), 1000))
     assert authenticator.verify(bytes(signed), 1000) is not None
     signed[position] ^= 1
     assert authenticator.verify(bytes(signed), 1000) is None
@@ -254,9 +256,11 @@
 def test_a_stale_or_foreign_message_is_refused() -> None:
     authenticator = Authenticator((b'new',))
     assert (
-        authenticator.verify(seal_one(authenticator, 0), FRESH_MS + 1) is None
+        authenticator.verify(sign_message(authenticator, 0), FRESH_MS + 1)
+        is None
     )
     assert (
-        authenticator.verify(seal_one(Authenticator((b'else',)), 0), 0) is None
+        authenticator.verify(sign_message(Authenticator((b'else',)), 0), 0)
+        is None
     )
     assert authenticator.verify(b'', 0) is None
