--- a/src/cartdale/placement/__init__.py
+++ b/src/cartdale/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Placement: one instance decides for each group of engines."""
+"""Placement: one instance places all requests of a group of engines."""
--- a/src/cartdale/placement/driver.py
+++ b/src/cartdale/placement/driver.py
@@ -1,4 +1,4 @@
-"""Ask the placer of a cell, here or at another instance."""
+"""Request placement from a group's placer, locally or at a peer."""
 
 import random
 from collections.abc import Callable
@@ -28,19 +28,19 @@
 from cartdale.routing.driver import Placed, Router
 from cartdale.routing.types import UpstreamFailed, Work, WorkEnded
 
-#: Placers tried before this instance decides by itself.
-_PLACERS_TRIED = 3
-#: Added to the work's patience, for the way there and back.
-_ANSWER_MARGIN: Millis = 2 * SECOND_MS
-#: Ends are reported together, so long after the first.
-_REPORT_PAUSE: Millis = 200
+#: Placers tried before this instance places the work itself.
+_MAX_PLACER_ATTEMPTS = 3
+#: Added to the work's remaining time, for the round trip.
+_ROUND_TRIP_MARGIN: Millis = 2 * SECOND_MS
+#: Delay after the first report, during which further reports are batched.
+_REPORT_DELAY: Millis = 200
 
 
 @dataclass(frozen=True, slots=True)
 class PlacementPorts:
-    """Bundle what placement uses of its instance.
+    """Components of an instance that placement uses.
 
-    :param router: decides for the cells that are placed here.
+    :param router: places work of the placement groups decided here.
     """
 
     router: Router
@@ -51,7 +51,7 @@
 
 
 class Placer:
-    """Find an engine for work, wherever its cell is decided."""
+    """Find an engine for work, whichever instance places its group."""
 
     def __init__(self, ports: PlacementPorts, seed: int) -> None:
         self._ports = ports
@@ -60,14 +60,14 @@
         self._placers_by_work: dict[str, MemberNews] = {}
         self._reports_by_name: dict[str, EndReport] = {}
         self._addresses_by_name: dict[str, str] = {}
-        self._reported = trio.Event()
+        self._report_pending = trio.Event()
 
     async def run(self) -> None:
-        """Report to other placers what ended, for ever."""
+        """Send reports of ended work to other placers until cancelled."""
         while True:
-            await self._reported.wait()
-            await trio.sleep(as_seconds(_REPORT_PAUSE))
-            self._reported = trio.Event()
+            await self._report_pending.wait()
+            await trio.sleep(as_seconds(_REPORT_DELAY))
+            self._report_pending = trio.Event()
             reports = self._reports_by_name
             self._reports_by_name = {}
             async with trio.open_nursery() as nursery:
@@ -75,30 +75,32 @@
                     nursery.start_soon(self._send, name, report)
 
     def update_groups(self) -> None:
-        """Take the cells of a configuration that came in force."""
+        """Apply the placement groups of an activated configuration."""
         self._groups = derive_placement_groups(self._ports.declared())
 
     async def place(self, work: Work) -> Placed:
-        """Wait until the work may run, and return its upstream."""
+        """Wait until work may run, and return its upstream or a refusal."""
         own = self._ports.membership.state.own
-        named = replace(work, entry=own.name)
+        own_work = replace(work, entry=own.name)
         group = self._choose_group(work)
         if group is None:
-            return await self._ports.router.place(named)
-        confined = replace(named, within=tuple(sorted(group.upstreams)))
-        for placer in self._ports.membership.rank(group.key)[:_PLACERS_TRIED]:
-            placed = await self._ask(placer, confined)
+            return await self._ports.router.place(own_work)
+        group_work = replace(own_work, within=tuple(sorted(group.upstreams)))
+        for placer in self._ports.membership.rank(group.key)[
+            :_MAX_PLACER_ATTEMPTS
+        ]:
+            placed = await self._request_placement(placer, group_work)
             if placed is not None and not _is_leaving(placed):
                 return placed
-        return await self._ports.router.place(named)
+        return await self._ports.router.place(own_work)
 
-    async def serve(self, asked: PlaceRequest) -> PlaceAnswer:
-        """Answer another instance as the placer of a cell."""
+    async def serve(self, request: PlaceRequest) -> PlaceAnswer:
+        """Place work for another instance as the placer of its group."""
         now = self._ports.clock.now()
         work = replace(
-            asked.work,
-            arrived_at=now - asked.work.arrived_at,
-            deadline_at=now + asked.work.deadline_at,
+            request.work,
+            arrived_at=now - request.work.arrived_at,
+            deadline_at=now + request.work.deadline_at,
         )
         placed = await self._ports.router.place(work)
         match placed:
@@ -109,7 +111,7 @@
         return PlaceAnswer()
 
     def apply_report(self, report: EndReport) -> None:
-        """Take another instance's report."""
+        """Apply another instance's report."""
         for ended in report.ended:
             self._ports.router.dispatch(
                 WorkEnded(ended.work_id, ended.produced, ended.finished)
@@ -120,12 +122,12 @@
     def report_end(
         self, work_id: str, produced: int, *, finished: bool
     ) -> None:
-        """Report that work left its engine."""
+        """Report that work ended on its engine."""
         self._ports.router.dispatch(WorkEnded(work_id, produced, finished))
         placer = self._placers_by_work.pop(work_id, None)
         if placer is None:
             return
-        report = self._open_report(placer)
+        report = self._pending_report(placer)
         ended = EndedWork(work_id, produced, finished)
         self._reports_by_name[placer.name] = replace(
             report, ended=(*report.ended, ended)
@@ -137,19 +139,19 @@
         placer = self._placers_by_work.get(work_id)
         if placer is None:
             return
-        report = self._open_report(placer)
+        report = self._pending_report(placer)
         self._reports_by_name[placer.name] = replace(
             report, failed=(*report.failed, upstream)
         )
 
     def decides_for(self, upstream: str) -> bool:
-        """Tell whether this instance is the placer of an engine."""
+        """Return whether this instance is the placer of an engine."""
         for group in self._groups:
             if upstream in group.upstreams:
-                return self._is_first(group)
+                return self._is_placer(group)
         return True
 
-    def _is_first(self, group: PlacementGroup) -> bool:
+    def _is_placer(self, group: PlacementGroup) -> bool:
         ranked = self._ports.membership.rank(group.key)
         return not ranked or ranked[0].name == self._ports.membership.name
 
@@ -166,21 +168,23 @@
 
     def _has_open_engine(self, group: PlacementGroup, work: Work) -> bool:
         declared = self._ports.declared()
-        wanted = group.upstreams.intersection(
+        service_upstreams = group.upstreams.intersection(
             declared.services[work.service].upstreams
         )
         return any(
             not declared.upstreams[name].draining
-            for name in wanted.difference(work.avoid)
+            for name in service_upstreams.difference(work.avoid)
         )
 
-    async def _ask(self, placer: MemberNews, work: Work) -> Placed | None:
+    async def _request_placement(
+        self, placer: MemberNews, work: Work
+    ) -> Placed | None:
         if placer.name == work.entry:
             return await self._ports.router.place(work)
         now = self._ports.clock.now()
-        patience = max(0, work.deadline_at - now)
+        timeout = max(0, work.deadline_at - now)
         relative = replace(
-            work, arrived_at=now - work.arrived_at, deadline_at=patience
+            work, arrived_at=now - work.arrived_at, deadline_at=timeout
         )
         self._placers_by_work[work.work_id] = placer
         answer = await self._ports.peers.request(
@@ -188,7 +192,7 @@
             placer.address,
             PlaceRequest(relative),
             PlaceAnswer,
-            patience + _ANSWER_MARGIN,
+            timeout + _ROUND_TRIP_MARGIN,
         )
         match answer:
             case Success(PlaceAnswer(upstream=upstream)) if upstream:
@@ -197,13 +201,14 @@
                 self._placers_by_work.pop(work.work_id, None)
                 return Failure(NotRun(reason, wait))
         self._ports.membership.dispatch(PeerSilent(placer.name))
-        # A placement whose answer was lost must not be counted for ever.
+        # The placer may have placed the work although its response was
+        # lost; without this report it would count it forever.
         self.report_end(work.work_id, 0, finished=False)
         return None
 
-    def _open_report(self, placer: MemberNews) -> EndReport:
+    def _pending_report(self, placer: MemberNews) -> EndReport:
         self._addresses_by_name[placer.name] = placer.address
-        self._reported.set()
+        self._report_pending.set()
         return self._reports_by_name.get(placer.name, EndReport())
 
     async def _send(self, name: str, report: EndReport) -> None:
--- a/src/cartdale/placement/types.py
+++ b/src/cartdale/placement/types.py
@@ -1,4 +1,4 @@
-"""Messages between an instance that serves a caller and a placer."""
+"""Messages between the instance that serves a caller and a placer."""
 
 from dataclasses import dataclass
 
@@ -9,9 +9,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PlaceRequest:
-    """Ask a placer for an engine; answered when the work may run.
+    """Request an engine from a placer; answered when the work may run.
 
-    :param work: its times are relative to the sending, in milliseconds.
+    :param work: its times are relative to the time of sending, in
+        milliseconds.
     """
 
     work: Work
@@ -19,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlaceAnswer:
-    """Name the engine, or say why the work did not run.
+    """The chosen engine, or the reason for a refusal.
 
     :param upstream: empty for a refusal.
     """
@@ -31,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndedWork:
-    """Describe work that left its engine."""
+    """Work that ended on its engine."""
 
     work_id: str
     produced: int
@@ -40,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndReport:
-    """Tell a placer what ended, and which engines failed."""
+    """Report ended work and failed engines to a placer."""
 
     ended: tuple[EndedWork, ...] = ()
     failed: tuple[str, ...] = ()
