--- a/tests/test_rests.py
+++ b/tests/test_backoffs.py
@@ -1,15 +1,14 @@
-"""An upstream turns a request away and says for how long it wants none.
-
-Seen: an engine asked an instance for three seconds of rest, and got three
-requests from it in that time. What a 503 said of the time was not read: it
-counted as one failure among others, which makes the next choice of that
-upstream a little less likely. Whether it came to three in a rest was the luck
-of that choice; where all others were full, or there were none, it came to many.
-
-Cause: the time that a 503 asks for was taken nowhere, neither when a request is
-placed nor when it is sent. Proof: with it kept at the placing alone, eight
-requests in a rest became none. Connections that take half a second and more to
-come up need the second look, when the request is sent.
+"""An upstream rejects a request and requests a back-off.
+
+Guards against requests during a back-off: an engine that requested a back-off
+of three seconds got three requests in that time, and more where all others
+were full or missing. The ``Retry-After`` of a 503 was ignored, and the 503
+counted as an ordinary failure, which only makes the upstream less likely to
+be chosen.
+
+The back-off must be checked when a request is placed, which reduced eight
+requests during a back-off to none, and again when it is sent, since a
+connection may take half a second or more to open.
 """
 
 from dataclasses import replace
@@ -49,74 +48,82 @@
 from tests.test_fleet import make_entry, make_fleet
 from tests.test_heard_departures import make_call_to
 
-#: The first part of a rest is for what is on its way, in seconds.
-ON_ITS_WAY = 0.5
-#: Requests that may still come in the rest of it.
-MOST = 2
-#: Longer than callers of these routes wait to be served in time, in seconds.
-REST = 3
-#: Of times that are told in hundredths of a second, and the way of an answer.
-TOLERANCE = 0.05
+#: Requests sent before the rejection arrive in this part of a back-off.
+IN_FLIGHT_SECONDS = 0.5
+#: Requests that may arrive in the remainder of a back-off.
+MAX_LATE_REQUESTS = 2
+#: A back-off longer than the deadline of these routes.
+BACKOFF_SECONDS = 3
+#: Covers times rounded to hundredths of a second, and the response latency.
+TOLERANCE_SECONDS = 0.05
 
 
-def count_in_rest(worker, rest: float) -> int:
-    """Return how many requests came in the rest that was asked for first."""
+def count_during_backoff(worker, backoff: float) -> int:
+    """Return the number of requests during the first requested back-off."""
     began = worker.backoff_requests[0].at
     return sum(
-        began + ON_ITS_WAY <= arrival.at < began + rest
+        began + IN_FLIGHT_SECONDS <= arrival.at < began + backoff
         for arrival in worker.arrivals
     )
 
 
-async def test_upstream_that_asks_for_rest_is_left_alone() -> None:
-    """It is the only one of its service: callers are told when to return."""
+async def test_upstream_gets_no_requests_during_a_backoff() -> None:
+    """It is the only one of its service; callers get the time to retry."""
     async with open_platform(plains=1) as stage:
         plain = stage.plains[0]
-        plain.faults.rejections, plain.faults.retry_after = 1000, str(REST)
+        plain.faults.rejections, plain.faults.retry_after = (
+            1000,
+            str(BACKOFF_SECONDS),
+        )
         waits: list[float] = []
-        with trio.move_on_after(REST):
+        with trio.move_on_after(BACKOFF_SECONDS):
             for number in range(1000):
                 answer = await ask(stage, f'r-{number}')
                 assert answer.status_code == 503
-                ends_at = plain.backoff_requests[0].at + REST
-                left = ends_at - trio.current_time()
-                waits.append(float(answer.headers['Retry-After']) - left)
+                ends_at = plain.backoff_requests[0].at + BACKOFF_SECONDS
+                remaining = ends_at - trio.current_time()
+                waits.append(float(answer.headers['Retry-After']) - remaining)
                 await trio.sleep(0.05)
-        assert count_in_rest(plain, REST) <= MOST
-        # None before it can be served, and not all at one moment.
-        assert min(waits) > -TOLERANCE
+        assert count_during_backoff(plain, BACKOFF_SECONDS) <= MAX_LATE_REQUESTS
+        # No caller retries before the back-off ends, and not all at once.
+        assert min(waits) > -TOLERANCE_SECONDS
         assert max(waits) - min(waits) > 0.3
 
 
-async def test_others_serve_while_one_rests() -> None:
+async def test_other_upstreams_serve_during_a_backoff() -> None:
     async with open_platform(plains=2) as stage:
-        resting = stage.plains[0]
-        resting.faults.rejections, resting.faults.retry_after = 1, '0.8'
+        backing_off = stage.plains[0]
+        backing_off.faults.rejections, backing_off.faults.retry_after = 1, '0.8'
         numbers = iter(range(10**6))
-        while not resting.backoff_requests:
+        while not backing_off.backoff_requests:
             answer = await ask(stage, f'before-{next(numbers)}')
             assert answer.status_code == 200
         with trio.move_on_after(0.7):
             while True:
                 answer = await ask(stage, f'rest-{next(numbers)}')
                 assert answer.status_code == 200
-        assert len(resting.arrivals) == 1 + resting.runs_by_request.total()
+        assert (
+            len(backing_off.arrivals) == 1 + backing_off.runs_by_request.total()
+        )
 
 
-async def test_many_at_the_same_moment_are_held_back_too() -> None:
-    """All were placed before the first of them was turned away."""
+async def test_simultaneous_requests_are_withheld() -> None:
+    """All requests were placed before the first of them was rejected."""
     async with open_platform(plains=1) as stage:
         plain = stage.plains[0]
-        plain.faults.rejections, plain.faults.retry_after = 1000, str(REST)
+        plain.faults.rejections, plain.faults.retry_after = (
+            1000,
+            str(BACKOFF_SECONDS),
+        )
         async with trio.open_nursery() as nursery:
             for number in range(30):
                 nursery.start_soon(ask, stage, f'r-{number}')
             await trio.sleep(1)
-        assert count_in_rest(plain, REST) == 0
+        assert count_during_backoff(plain, BACKOFF_SECONDS) == 0
 
 
-async def test_what_waits_for_its_connection_is_held_back() -> None:
-    """It was placed before its upstream asked for rest."""
+async def test_request_waiting_for_its_connection_is_withheld() -> None:
+    """The request was placed before its upstream requested a back-off."""
     async with open_platform(plains=1) as stage:
         fleet = stage.runtimes[0].fleet
         advisories = AdvisoryRecorder(fleet, SystemClock())
@@ -130,7 +137,7 @@
             assert opened.unwrap().status == 200
 
 
-async def test_who_can_be_served_in_time_waits_for_the_end_of_a_rest() -> None:
+async def test_request_waits_for_a_backoff_that_ends_in_time() -> None:
     async with open_platform(plains=1) as stage:
         plain = stage.plains[0]
         plain.faults.rejections, plain.faults.retry_after = 1, '0.6'
@@ -141,13 +148,13 @@
         assert len(plain.arrivals) == 2
 
 
-async def test_engines_that_rest_get_no_drafts() -> None:
-    """Both of the service do; a third one would get them all."""
+async def test_engines_get_no_drafts_during_a_backoff() -> None:
+    """Both engines of the service back off; a third would get all drafts."""
     async with open_platform(engines=2) as stage:
         for engine in stage.engines:
             engine.faults.rejections, engine.faults.retry_after = (
                 1000,
-                str(REST),
+                str(BACKOFF_SECONDS),
             )
         answers: list[httpx.Response] = []
 
@@ -160,11 +167,11 @@
                 await trio.sleep(0.05)
         assert {answer.status_code for answer in answers} == {503}
         for engine in stage.engines:
-            assert count_in_rest(engine, REST) == 0
+            assert count_during_backoff(engine, BACKOFF_SECONDS) == 0
 
 
-async def test_a_stopped_generation_outwaits_the_rest_of_its_target() -> None:
-    """Its copy was on the way; to go elsewhere would mean to end."""
+async def test_stopped_generation_waits_for_its_targets_backoff() -> None:
+    """Its copy was in transit; it could not continue on another engine."""
     async with open_platform(engines=2) as stage:
         fleet = stage.runtimes[0].fleet
         async with draft_meanwhile(stage, 'r1', tokens=800) as answers:
@@ -184,7 +191,7 @@
 
 
 async def lose_backup(stage: PlatformStage, kept_at: PlatformEngine) -> None:
-    """Have generations count on no backup at an engine."""
+    """Make generations drop their backups at an engine."""
     mover = stage.runtimes[0].mover
     await until(mover.list_generations)
     for generation in mover.list_generations():
@@ -192,20 +199,23 @@
             generation.lose_backup()
 
 
-def rest(state: FleetState, for_ms: int, now: int) -> FleetState:
+def request_backoff(state: FleetState, for_ms: int, now: int) -> FleetState:
     return decide(state, BackoffRequested('a', for_ms), now)[0]
 
 
-def test_the_longest_time_that_was_asked_for_holds() -> None:
-    state = rest(make_fleet('a', born=1), 3000, 100)
-    for shorter in (rest(state, 500, 200), rest(state, 0, 200)):
+def test_the_backoff_that_ends_last_applies() -> None:
+    state = request_backoff(make_fleet('a', born=1), 3000, 100)
+    for shorter in (
+        request_backoff(state, 500, 200),
+        request_backoff(state, 0, 200),
+    ):
         assert shorter.upstreams_by_id['a'].backoff_until == 3100
-    longer = rest(state, 3000, 200)
+    longer = request_backoff(state, 3000, 200)
     assert longer.upstreams_by_id['a'].backoff_until == 3200
 
 
-def test_answers_to_what_was_there_before_do_not_end_a_rest() -> None:
-    state = rest(make_fleet('a', born=1), 3000, 100)
+def test_earlier_requests_and_entries_do_not_end_a_backoff() -> None:
+    state = request_backoff(make_fleet('a', born=1), 3000, 100)
     for ended in (
         RequestEnded('a', good=True),
         RequestEnded('a', good=False, reached=False),
@@ -215,16 +225,16 @@
         assert after.upstreams_by_id['a'].backoff_until == 3100
 
 
-def test_a_rest_ends_with_the_life_that_asked_for_it() -> None:
-    state = rest(make_fleet('a', born=1), 3000, 100)
+def test_a_backoff_ends_with_the_incarnation_that_requested_it() -> None:
+    state = request_backoff(make_fleet('a', born=1), 3000, 100)
     state, _ = decide(state, EntryWritten(make_entry('a', born=2)), 200)
     assert not state.upstreams_by_id['a'].backoff_until
 
 
-def make_resting(clock: VirtualClock, *rests: int) -> Fleet:
-    """Return a fleet whose upstreams rest for these times, 0 for none."""
+def make_backing_off(clock: VirtualClock, *backoffs: int) -> Fleet:
+    """Return a fleet with upstreams in these back-offs; 0 for none."""
     fleet = Fleet(clock, 'west', 1)
-    for number, wanted in enumerate(rests):
+    for number, wanted in enumerate(backoffs):
         name = f'u{number}'
         fleet.dispatch(EntryWritten(make_entry(name, slots=2)))
         if wanted:
@@ -232,40 +242,49 @@
     return fleet
 
 
-def test_shortage_names_what_keeps_a_request_waiting() -> None:
+def test_unavailable_reason_names_the_cause_of_a_wait() -> None:
     clock = VirtualClock()
     needs = RequestNeeds('s')
-    assert make_resting(clock, 900, 0).find_unavailable_reason(needs) == 'full'
-    resting = make_resting(clock, 900, 800)
-    assert resting.find_unavailable_reason(needs) == 'resting'
-    assert resting.choose(needs) is None
+    assert (
+        make_backing_off(clock, 900, 0).find_unavailable_reason(needs) == 'full'
+    )
+    backing_off = make_backing_off(clock, 900, 800)
+    assert backing_off.find_unavailable_reason(needs) == 'resting'
+    assert backing_off.choose(needs) is None
     for name in ('u0', 'u1'):
-        resting.dispatch(LeavingAnnounced(name))
-    assert resting.find_unavailable_reason(needs) == 'leaving'
-    assert make_resting(clock).find_unavailable_reason(needs) == 'missing'
+        backing_off.dispatch(LeavingAnnounced(name))
+    assert backing_off.find_unavailable_reason(needs) == 'leaving'
+    assert make_backing_off(clock).find_unavailable_reason(needs) == 'missing'
     tried = replace(needs, excluded=frozenset(('u0',)))
-    assert make_resting(clock, 0).find_unavailable_reason(tried) == 'missing'
+    assert (
+        make_backing_off(clock, 0).find_unavailable_reason(tried) == 'missing'
+    )
 
 
-def test_the_first_rest_that_ends_is_foreseen() -> None:
+def test_the_forecast_covers_the_first_backoff_to_end() -> None:
     clock = VirtualClock()
-    forecast = make_resting(clock, 900, 800).forecast_wait(RequestNeeds('s'), 0)
+    forecast = make_backing_off(clock, 900, 800).forecast_wait(
+        RequestNeeds('s'), 0
+    )
     assert (forecast.backoff, forecast.expected_wait()) == (800, 800)
     assert forecast.chance(799) == 0
     assert forecast.chance(800) == 1
-    # Two places: the third waits for an end besides.
+    # Two slots: a third request also waits for a request to end.
     assert (
-        make_resting(clock, 900).forecast_wait(RequestNeeds('s'), 1).chance(900)
+        make_backing_off(clock, 900)
+        .forecast_wait(RequestNeeds('s'), 1)
+        .chance(900)
         == 1
     )
     assert (
-        make_resting(clock, 900).forecast_wait(RequestNeeds('s'), 2).ends == 1
+        make_backing_off(clock, 900).forecast_wait(RequestNeeds('s'), 2).ends
+        == 1
     )
 
 
-async def test_nobody_is_told_to_return_before_a_long_rest_ends() -> None:
+async def test_no_caller_is_told_to_retry_before_a_long_backoff_ends() -> None:
     clock = SystemClock()
-    fleet = make_resting(clock, 60_000)
+    fleet = make_backing_off(clock, 60_000)
     admission = Admission(fleet, clock, 1)
     now = clock.now()
     waits = []
@@ -279,8 +298,8 @@
     assert 62_000 < max(waits) <= 63_000
 
 
-def test_metrics_count_who_leaves_and_who_rests() -> None:
-    fleet = make_resting(VirtualClock(), 900, 0)
+def test_metrics_count_leaving_and_backing_off_upstreams() -> None:
+    fleet = make_backing_off(VirtualClock(), 900, 0)
     fleet.dispatch(LeavingAnnounced('u1'))
     assert count_unavailable(fleet.state, 0) == (1, 1, 0)
     assert count_unavailable(fleet.state, 900) == (1, 0, 0)
