--- a/src/cartdale/routing/driver.py
+++ b/src/cartdale/routing/driver.py
@@ -33,7 +33,7 @@
 
 
 class Router:
-    """Hold the routing state of this instance."""
+    """Routing state of this instance and the requests that wait for it."""
 
     def __init__(self, clock: Clock, seed: int) -> None:
         self._clock = clock
--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -160,10 +160,10 @@
     st.lists(st.tuples(st.integers(0, 400), st.integers(1, 100)), max_size=80),
 )
 def test_a_bucket_owner_never_lends_more_than_the_rate(
-    asked: list[tuple[int, int]],
+    requests: list[tuple[int, int]],
 ) -> None:
     state, now, lent = BucketOwnerState(), 0, 0
-    for step, wanted in asked:
+    for step, wanted in requests:
         now += step
         state, loan = lend(state, Borrow('c', wanted), RATE, now)
         lent += loan.credits
