--- a/src/cartdale/routing/driver.py
+++ b/src/cartdale/routing/driver.py
@@ -1,4 +1,4 @@
-"""Run the routing decisions and let requests wait for them."""
+"""Run the routing state machine and block requests until it decides."""
 
 from dataclasses import dataclass, field
 from typing import assert_never
@@ -26,14 +26,14 @@
 
 @dataclass(slots=True)
 class _Waiter:
-    """Let one request wait for its decision."""
+    """Routing decision that one request waits for."""
 
     decided: trio.Event = field(default_factory=trio.Event)
     outcome: Placed | None = None
 
 
 class Router:
-    """Hold the routing state of this instance."""
+    """Routing state of this instance and the requests that wait for it."""
 
     def __init__(self, clock: Clock, seed: int) -> None:
         self._clock = clock
@@ -41,14 +41,14 @@
         self.state = RoutingState(seed=seed)
 
     def dispatch(self, message: Message) -> None:
-        """Take a message and carry out what is decided."""
+        """Apply a message and carry out the resulting actions."""
         after, actions = decide(self.state, message, self._clock.now())
         self.state = after
         for action in actions:
             self._carry_out(action)
 
     async def place(self, work: Work) -> Placed:
-        """Wait until work may run, and return its upstream."""
+        """Wait until work may run, and return its upstream or a refusal."""
         waiter = _Waiter()
         self._waiters_by_work[work.work_id] = waiter
         self.dispatch(WorkArrived(work))
--- a/src/cartdale/streams/ports.py
+++ b/src/cartdale/streams/ports.py
@@ -1,4 +1,4 @@
-"""What every delivery works with."""
+"""Dependencies shared by all deliveries of an instance."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -17,9 +17,9 @@
 
 @dataclass(frozen=True, slots=True)
 class DeliveryPorts:
-    """Bundle what a delivery uses of its instance.
+    """Components of an instance that a delivery uses.
 
-    :param find_engine: finds the adapter of an upstream.
+    :param find_engine: returns the adapter of an upstream.
     """
 
     clock: Clock
