--- a/src/cartdale/fleet/candidates.py
+++ b/src/cartdale/fleet/candidates.py
@@ -1,4 +1,4 @@
-"""List the upstreams that a request may go to at all, and why there is none."""
+"""List the upstreams that may serve a request, or say why there are none."""
 
 from dataclasses import replace
 from enum import StrEnum
@@ -11,28 +11,28 @@
 
 
 class UnavailableReason(StrEnum):
-    """Say why a request found no upstream."""
+    """The reason why no upstream is available for a request."""
 
-    #: Some take new work, but have no room.
+    #: Some accept new work but have no free capacity.
     FULL = 'full'
-    #: All of them have had what a cold upstream bears.
+    #: All are cold and have received as many requests as they can bear.
     COLD = 'cold'
-    #: All of them asked to be left alone for a while.
+    #: All requested a back-off.
     RESTING = 'resting'
-    #: All of them have a rate limit, and have had this instance's part.
+    #: All have a rate limit, and this instance has used its share of it.
     LIMITED = 'limited'
-    #: All of them leave.
+    #: All are leaving.
     LEAVING = 'leaving'
-    #: All of them lie in failure domains that are evacuated.
+    #: All are in failure domains that are evacuated.
     EVACUATED = 'evacuated'
-    #: None lies where the request may go.
+    #: None is in a region that may serve the request.
     REGION = 'region'
-    #: The service has none.
+    #: The service has no upstreams.
     MISSING = 'missing'
 
 
 def list_candidates(state: FleetState, needs: RequestNeeds) -> list[Upstream]:
-    """Return the upstreams of the service that take new work."""
+    """Return the upstreams of the service that accept new work."""
     return [
         upstream
         for upstream in _list_live(state, needs)
@@ -49,20 +49,21 @@
     now: Millis,
     spent: frozenset[str],
 ) -> UnavailableReason:
-    """Return why a request found no upstream.
+    """Return why no upstream is available for a request.
 
-    :param spent: upstreams of whose rate limits this instance has had its part.
+    :param spent: upstreams for which this instance has used its share of the
+        rate limit.
     """
     candidates = list_candidates(state, needs)
     if not candidates:
-        return _find_absence(state, needs)
-    awake = [each for each in candidates if each.backoff_until <= now]
-    if not awake:
+        return _find_missing_reason(state, needs)
+    accepting = [each for each in candidates if each.backoff_until <= now]
+    if not accepting:
         return UnavailableReason.RESTING
-    open_to_it = [each for each in awake if each.entry.upstream not in spent]
-    if not open_to_it:
+    permitted = [each for each in accepting if each.entry.upstream not in spent]
+    if not permitted:
         return UnavailableReason.LIMITED
-    cold = all(is_cold(state, each, spec, now) for each in open_to_it)
+    cold = all(is_cold(state, each, spec, now) for each in permitted)
     return (
         UnavailableReason.COLD
         if cold and spec.cold_rate
@@ -79,10 +80,10 @@
 def is_cold(
     state: FleetState, upstream: Upstream, spec: ServiceSpec, now: Millis
 ) -> bool:
-    """Tell whether an upstream bears little, as if it had just started.
+    """Tell whether an upstream is cold, as if it had just started.
 
-    All of a failure domain may be cold when its evacuation ends, and the
-    store may tell that of an upstream later than the end.
+    All upstreams of a failure domain may be cold when its evacuation ends, and
+    the store may show that of an upstream only after the end.
     """
     domain = upstream.entry.failure_domain
     return upstream.warm_at > now or reopened_within(
@@ -91,13 +92,13 @@
 
 
 def count_cold(state: FleetState, now: Millis) -> int:
-    """Return how many upstreams are cold, as far as it is told."""
+    """Return how many upstreams are reported to be cold."""
     upstreams = state.upstreams_by_id.values()
     return sum(upstream.warm_at > now for upstream in upstreams)
 
 
 def count_unavailable(state: FleetState, now: Millis) -> tuple[int, int, int]:
-    """Return how many upstreams leave, asked for rest, and name a limit."""
+    """Return the numbers of leaving, backing-off and rate-limited upstreams."""
     upstreams = state.upstreams_by_id.values()
     leaving = sum(each.lifecycle is Lifecycle.LEAVING for each in upstreams)
     resting = sum(each.backoff_until > now for each in upstreams)
@@ -105,8 +106,10 @@
     return leaving, resting, limited
 
 
-def _find_absence(state: FleetState, needs: RequestNeeds) -> UnavailableReason:
-    """Return why a request has not even candidates."""
+def _find_missing_reason(
+    state: FleetState, needs: RequestNeeds
+) -> UnavailableReason:
+    """Return why a request has no candidates."""
     if is_closed(state, needs):
         return UnavailableReason.EVACUATED
     anywhere = replace(needs, domains=None)
@@ -125,7 +128,7 @@
 
 
 def _list_live(state: FleetState, needs: RequestNeeds) -> list[Upstream]:
-    """Return the upstreams that serve and lie where a request may go."""
+    """Return the serving upstreams in the failure domains of a request."""
     return [
         upstream
         for name, upstream in state.upstreams_by_id.items()
--- a/src/cartdale/fleet/decide.py
+++ b/src/cartdale/fleet/decide.py
@@ -1,18 +1,18 @@
-"""Decide which upstreams exist, which are leaving and which to avoid."""
+"""State machine of the fleet: known, leaving and avoided upstreams."""
 
 from dataclasses import replace
 
 from cartdale.clock import SECOND_MS, Millis
 from cartdale.fleet.departures import (
-    announce_departure,
-    find_kept,
+    departure_actions,
+    find_retention,
     find_return,
     find_warm_at,
-    is_late,
+    is_stale_report,
 )
 from cartdale.fleet.evacuation import Evacuation, end_unlisted, merge
 from cartdale.fleet.health import judge, put
-from cartdale.fleet.statements import lapse_limits, take_statement
+from cartdale.fleet.statements import apply_announcement, expire_limits
 from cartdale.fleet.types import (
     Action,
     AddressTakenOver,
@@ -37,16 +37,16 @@
     Vanished,
 )
 
-#: An entry that lapsed in an outage comes back within about two seconds; one
-#: more is for the way here.
+#: An entry that lapsed in a store outage comes back within about two seconds;
+#: one more second covers its propagation to this instance.
 LAPSED_KEPT_MS: Millis = 3 * SECOND_MS
 
 
 def decide(state: FleetState, message: Message, now: Millis) -> Decision:
-    """Take one message.
+    """Apply one message.
 
     :param now: monotonic milliseconds.
-    :returns: the next state, and which upstreams began to leave or vanished.
+    :returns: the next state, and the changes to act on.
     """
     match message:
         case EntriesListed():
@@ -56,11 +56,11 @@
         case EntryRemoved():
             return _remove(state, message, now)
         case LeavingAnnounced() | LimitAdvertised():
-            return take_statement(state, message, now)
+            return apply_announcement(state, message, now)
         case AddressTakenOver(upstream=name):
             return _drop(state, (name,))
-        case EvacuationsReceived(evacuations=told):
-            return _evacuate(state, told, now)
+        case EvacuationsReceived(evacuations=reported):
+            return _evacuate(state, reported, now)
         case EvacuationsListed(restored=True):
             return _evacuate(state, message.evacuations, now)
         case EvacuationsListed(evacuations=listed, revision=revision):
@@ -104,19 +104,19 @@
 ) -> Decision:
     known = state.upstreams_by_id.get(entry.upstream)
     if known is None:
-        found = Upstream(
+        added = Upstream(
             entry, entry.lifecycle, now, warm_at=now + entry.cold_for
         )
-        return put(state, found), announce_departure(found)
-    if _is_other_life(entry, known.entry):
-        return _begin_life(state, known, entry, now)
+        return put(state, added), departure_actions(added)
+    if _is_other_incarnation(entry, known.entry):
+        return _begin_incarnation(state, known, entry, now)
     if not entry.born:
         entry = replace(entry, born=known.entry.born)
     if known.lifecycle is Lifecycle.LEAVING:
-        back = find_return(known, entry, now, from_peer=from_peer)
-        leaves = back.lifecycle is Lifecycle.LEAVING
+        updated = find_return(known, entry, now, from_peer=from_peer)
+        leaves = updated.lifecycle is Lifecycle.LEAVING
         returned = () if leaves else (Returned(entry.upstream),)
-        return put(state, back), returned
+        return put(state, updated), returned
     changed = replace(
         known,
         entry=entry,
@@ -125,27 +125,30 @@
     )
     if changed.lifecycle is not known.lifecycle:
         changed = replace(changed, changed_at=now)
-    return put(state, changed), announce_departure(changed)
+    return put(state, changed), departure_actions(changed)
 
 
-def _is_other_life(entry: UpstreamEntry, known: UpstreamEntry) -> bool:
-    """Tell whether an upstream started anew between two entries."""
+def _is_other_incarnation(entry: UpstreamEntry, known: UpstreamEntry) -> bool:
+    """Tell whether an upstream restarted between two entries."""
     return bool(entry.born and known.born) and entry.born != known.born
 
 
-def _begin_life(
+def _begin_incarnation(
     state: FleetState, known: Upstream, entry: UpstreamEntry, now: Millis
 ) -> Decision:
-    """Take an upstream that started again under its id as a new one.
+    """Replace an upstream that restarted under the same id.
 
-    What was known of the life before says nothing of this one. A peer may
-    still tell of that one, as an entry or that it left.
+    The state of the previous incarnation does not apply to this one. A peer may
+    still report the previous one, by its entry or as leaving; an older entry is
+    ignored.
     """
     if entry.born < known.entry.born:
         return state, ()
-    found = Upstream(entry, entry.lifecycle, now, warm_at=now + entry.cold_for)
-    began = (Restarted(entry.upstream), *announce_departure(found))
-    return put(state, found), began
+    restarted = Upstream(
+        entry, entry.lifecycle, now, warm_at=now + entry.cold_for
+    )
+    began = (Restarted(entry.upstream), *departure_actions(restarted))
+    return put(state, restarted), began
 
 
 def _remove(state: FleetState, message: EntryRemoved, now: Millis) -> Decision:
@@ -153,8 +156,8 @@
     if known is None:
         return state, ()
     if known.lifecycle is Lifecycle.LEAVING:
-        return _unlist(state, known, message), ()
-    if message.from_peer and is_late(known, message, now):
+        return _mark_unlisted(state, known, message), ()
+    if message.from_peer and is_stale_report(known, message, now):
         return state, ()
     if message.after_outage:
         if known.lifecycle is Lifecycle.LAPSED:
@@ -162,13 +165,13 @@
         lapsed = replace(known, lifecycle=Lifecycle.LAPSED, changed_at=now)
         return put(state, lapsed), ()
     leaving = replace(known, lifecycle=Lifecycle.LEAVING, changed_at=now)
-    return put(state, leaving), announce_departure(leaving)
+    return put(state, leaving), departure_actions(leaving)
 
 
-def _unlist(
+def _mark_unlisted(
     state: FleetState, known: Upstream, message: EntryRemoved
 ) -> FleetState:
-    """Note that no older entry of one that leaves is left in the store."""
+    """Record that the store holds no entry of a leaving upstream any more."""
     if known.unlisted or message.from_peer or message.after_outage:
         return state
     return put(state, replace(known, unlisted=True))
@@ -183,10 +186,10 @@
             case Lifecycle.LAPSED if age >= LAPSED_KEPT_MS:
                 state, began = _remove(state, EntryRemoved(name), now)
                 actions.extend(began)
-            case Lifecycle.LEAVING if age >= find_kept(upstream):
+            case Lifecycle.LEAVING if age >= find_retention(upstream):
                 vanished.append(name)
     state, dropped = _drop(state, tuple(vanished))
-    state, ended = lapse_limits(state, now)
+    state, ended = expire_limits(state, now)
     return state, (*actions, *dropped, *ended)
 
 
@@ -203,11 +206,11 @@
 
 
 def _evacuate(
-    state: FleetState, told: tuple[Evacuation, ...], now: Millis
+    state: FleetState, reported: tuple[Evacuation, ...], now: Millis
 ) -> Decision:
-    """Take over what is newer than what is known of failure domains."""
+    """Apply those evacuations that are newer than the known ones."""
     before = state.evacuation_status_by_domain
-    after = merge(before, told, now)
+    after = merge(before, reported, now)
     if after == before:
         return state, ()
     actions: list[Action] = []
--- a/src/cartdale/fleet/departures.py
+++ b/src/cartdale/fleet/departures.py
@@ -52,7 +52,7 @@
     return replace(leaving, changed_at=now)
 
 
-def announce_departure(upstream: Upstream) -> tuple[Action, ...]:
+def departure_actions(upstream: Upstream) -> tuple[Action, ...]:
     """Return what others are told of an upstream that leaves."""
     if upstream.lifecycle is Lifecycle.LEAVING:
         return (BeganLeaving(upstream.entry.upstream),)
@@ -85,7 +85,9 @@
     )
 
 
-def is_late(known: Upstream, message: EntryRemoved, now: Millis) -> bool:
+def is_stale_report(
+    known: Upstream, message: EntryRemoved, now: Millis
+) -> bool:
     """Tell whether a peer told of what was before this instance knew better.
 
     A life that is over, or an entry that was missing and came back.
@@ -95,7 +97,7 @@
     return known.returned and now - known.changed_at < PEER_REPORT_IGNORED_MS
 
 
-def find_kept(leaving: Upstream) -> Millis:
+def find_retention(leaving: Upstream) -> Millis:
     """Return for how long an upstream that leaves is remembered."""
     may_be_back = leaving.announced_leaving and not leaving.unlisted
     return ANNOUNCED_LEAVING_KEPT_MS if may_be_back else LEAVING_KEPT_MS
--- a/src/cartdale/fleet/driver.py
+++ b/src/cartdale/fleet/driver.py
@@ -1,4 +1,4 @@
-"""Hold the fleet and tell those who wait for changes."""
+"""Hold the fleet state, choose upstreams, and notify waiters of changes."""
 
 import random
 from collections.abc import Callable
@@ -53,16 +53,16 @@
 
 _TICK: Millis = 200
 
-Left = Callable[[str], None]
+UpstreamCallback = Callable[[str], None]
 
 
 class Fleet:
-    """Own the state of the upstreams and the choice among them.
+    """Own the state of the upstreams and choose among them.
 
-    :param failure_domain: where this instance runs.
-    :param seed: makes the choices repeatable.
-    :param switches: mechanisms that are off, here and wherever this fleet is
-        asked.
+    :param failure_domain: of this instance.
+    :param seed: makes the choices reproducible.
+    :param switches: mechanisms that are disabled, here and in all code that
+        uses this fleet.
     """
 
     def __init__(
@@ -79,26 +79,26 @@
         self.state = FleetState()
         self.loads = LoadTable()
         self.table = RoutingTable()
-        self.on_leaving: Left | None = None
-        self.on_restarted: Left | None = None
-        self.on_evacuating: Left | None = None
+        self.on_leaving: UpstreamCallback | None = None
+        self.on_restarted: UpstreamCallback | None = None
+        self.on_evacuating: UpstreamCallback | None = None
         self.cold_gate = ColdGate()
         self.limits = UpstreamLimits(clock)
-        #: Counts what changed in the upstreams' lifecycles, for news.
+        #: Number of changes of upstream lifecycles, for news.
         self.lifecycles = 0
-        #: Counts the upstreams that said to this instance that they leave.
+        #: Number of departures that upstreams announced to this instance.
         self.departures_observed = 0
-        #: Upstreams among which the best is chosen.
+        #: Number of upstreams that a choice compares.
         self.choices = CHOICES
         self._changed = trio.Event()
         self._announced = trio.Event()
         self._reading = ReadingShares()
         self._paces_by_service: dict[str, Pace] = {}
-        #: Requests that no upstream is to get.
+        #: Requests that are not sent to any upstream.
         self.quarantine = Quarantine(clock, self.notify)
 
     def dispatch(self, message: Message) -> None:
-        """Take one message and act on what follows from it."""
+        """Apply one message and act on the resulting changes."""
         before = self.state
         after, actions = decide(before, message, self._clock.now())
         self.state = after
@@ -116,30 +116,30 @@
             self.notify()
 
     def notify(self) -> None:
-        """Wake those who wait for room, and who tells peers."""
+        """Wake requests that wait for capacity, and the publisher of news."""
         self._changed.set()
         self._changed = trio.Event()
         self.announce()
 
     def announce(self) -> None:
-        """Wake who tells peers what is placed here.
+        """Wake the publisher of news about the load placed here.
 
-        They choose from what they hear. Without this call news waited for
-        something else that was worth telling: 196 ms in the mean.
+        Peers choose upstreams by this news. Without this call it waits for the
+        next other change that is published: 196 ms on average.
         """
         self._announced.set()
         self._announced = trio.Event()
 
     async def changed(self) -> None:
-        """Wait until room may have come up."""
+        """Wait until capacity may have become free."""
         await self._changed.wait()
 
     async def announced(self) -> None:
-        """Wait until there may be something to tell peers."""
+        """Wait until there may be something to publish to peers."""
         await self._announced.wait()
 
     async def run(self) -> None:
-        """Let time pass, for ever."""
+        """Expire state periodically; never returns."""
         while True:
             await trio.sleep(as_seconds(_TICK))
             self.dispatch(TimePassed())
@@ -149,34 +149,34 @@
             self._reading.look(self.state.upstreams_by_id, totals)
 
     def find(self, upstream: str) -> Upstream | None:
-        """Return what is known of an upstream."""
+        """Return the state of an upstream, or ``None`` if it is unknown."""
         return self.state.upstreams_by_id.get(upstream)
 
     def load_at(self, upstream: str) -> Load:
-        """Return everybody's load at an upstream, as far as it is known."""
+        """Return the known load of all instances at an upstream."""
         return self.loads.at(upstream, self._clock.now())
 
     def pace(self, service: str) -> Pace:
-        """Return how fast the engines of a service are."""
+        """Return the speed of the engines of a service."""
         return self._paces_by_service.get(service, Pace())
 
     def note_progress(self, service: str, progress: Progress) -> None:
-        """Learn from how one generation went at one engine."""
+        """Update the pace from the progress of one generation."""
         learnt = learn(self.pace(service), progress)
         self._paces_by_service[service] = learnt
 
     def note_answer(self, service: str, took: Millis) -> None:
-        """Learn from one plain answer that was good."""
+        """Update the pace from one successful plain response."""
         learnt = learn_answer(self.pace(service), took)
         self._paces_by_service[service] = learnt
 
     def choose(
         self, needs: RequestNeeds, failure_domain: str | None = None
     ) -> Upstream | None:
-        """Return an upstream with room for a request, or ``None``.
+        """Return an upstream with capacity for a request, or ``None``.
 
-        :param failure_domain: where the work comes from; this instance's
-            own when left out.
+        :param failure_domain: origin of the work; defaults to that of this
+            instance.
         """
         context = self._make_context(needs, failure_domain)
         candidates = self._list_allowed(needs, context)
@@ -191,10 +191,11 @@
     def spend(self, upstream: Upstream, *, resumes: bool) -> bool:
         """Tell whether a request may be sent now, and count it.
 
-        What bounds the rate of its upstream is asked here, where all ways to
-        it meet; the strictest holds.
+        All bounds on the rate of an upstream are checked here, where all send
+        paths meet; the strictest applies.
 
-        :param resumes: whether it goes on from a copy there, and can't wait.
+        :param resumes: whether the request resumes from a copy there, and so
+            can't wait.
         """
         now = self._clock.now()
         name = upstream.entry.upstream
@@ -211,13 +212,13 @@
         return True
 
     def forecast_wait(self, needs: RequestNeeds, ahead: int) -> WaitForecast:
-        """Return when a request finds room.
+        """Forecast when a request finds capacity.
 
-        :param ahead: requests that are served before it.
+        :param ahead: number of requests that are served before it.
         """
         context = self._make_context(needs, None)
         candidates = list_candidates(self.state, needs)
-        resting = [
+        backing_off = [
             each for each in candidates if each.backoff_until > context.now
         ]
         limited = [
@@ -232,33 +233,34 @@
         ]
         forecast = forecast_wait(unlimited, needs, context, ahead)
         later = self.limits.forecast_wait(limited, needs, context, ahead)
-        if resting:
-            later.append(forecast_after_backoff(resting, needs, context, ahead))
+        if backing_off:
+            later.append(
+                forecast_after_backoff(backing_off, needs, context, ahead)
+            )
         if not later:
             return forecast
         if not unlimited:
-            first = min(later, key=_expect)
+            first = min(later, key=_expected_wait)
             return replace(first, backoff=first.reading)
-        return min(forecast, *later, key=_expect)
+        return min(forecast, *later, key=_expected_wait)
 
     def filled_share(self, needs: RequestNeeds) -> float:
-        """Return how full the engines are that could serve a request.
+        """Return the filled share of the engines that could serve a request.
 
-        Their memory with the growth that is expected, 0 to 1 and beyond; 1
-        where there are none.
+        engines.
         """
         context = self._make_context(needs, None)
         return measure_filling(list_candidates(self.state, needs), context)
 
     def find_unavailable_reason(self, needs: RequestNeeds) -> UnavailableReason:
-        """Return why a request found no upstream."""
+        """Return why no upstream is available for a request."""
         spec = self._find_spec(needs.service)
         now = self._clock.now()
         spent = self.limits.gate.list_spent(now)
         return find_unavailable_reason(self.state, needs, spec, now, spent)
 
     def may_finish_move(self, entry: UpstreamEntry) -> bool:
-        """Tell whether a stopped generation may go on at an upstream."""
+        """Tell whether a stopped generation may resume at an upstream."""
         return may_finish_move(
             self.state.evacuation_status_by_domain,
             entry.failure_domain,
@@ -266,14 +268,14 @@
         )
 
     def list_evacuations(self) -> tuple[Evacuation, ...]:
-        """Return what is known of evacuations, present and past."""
+        """Return the known current and past evacuations."""
         return tuple(
             status.evacuation
             for status in self.state.evacuation_status_by_domain.values()
         )
 
     def list_evacuated(self) -> tuple[str, ...]:
-        """Return the failure domains where nothing new may go."""
+        """Return the failure domains that accept no new work."""
         return tuple(
             domain
             for domain, status in self.state.evacuation_status_by_domain.items()
@@ -281,7 +283,7 @@
         )
 
     def _act(self, action: Action) -> None:
-        """Tell whoever moves generations."""
+        """Call the callbacks that move generations."""
         match action:
             case BeganLeaving(upstream=upstream) if self.on_leaving:
                 self.on_leaving(upstream)
@@ -295,11 +297,12 @@
     ) -> list[Upstream]:
         """Return the candidates to which this instance may send now.
 
-        An upstream that asked this instance for rest gets nothing from it,
-        whatever else is full: what it turns away it must still read. Of a cold
-        one, and of one with a rate limit, this instance has a part.
+        An upstream that requested a back-off from this instance gets nothing,
+        even if all others are full, since it must read even the requests that
+        it rejects. Of the rate of a cold or rate-limited upstream this instance
+        has a share.
         """
-        awake = [
+        accepting = [
             upstream
             for upstream in list_candidates(self.state, needs)
             if upstream.backoff_until <= context.now
@@ -307,7 +310,7 @@
         ]
         return [
             upstream
-            for upstream in awake
+            for upstream in accepting
             if not is_cold(self.state, upstream, context.spec, context.now)
             or self.cold_gate.allows(
                 upstream.entry.upstream, context.spec.cold_rate, context.now
@@ -342,14 +345,14 @@
     return state.upstreams_by_id.get(action.upstream)
 
 
-def _expect(forecast: WaitForecast) -> float:
-    """Return the mean wait that an outlook gives, to choose the shorter."""
+def _expected_wait(forecast: WaitForecast) -> float:
+    """Return the mean wait of a forecast; infinite if it never ends."""
     wait = forecast.expected_wait()
     return inf if wait is None else wait
 
 
 def _name_subject(action: Action) -> str:
-    """Return what an action is about, for its log line."""
+    """Return the kind of an action's subject, for its log line."""
     match action:
         case BeganEvacuating() | EndedEvacuating():
             return 'failure domain'
--- a/src/cartdale/fleet/limit_gate.py
+++ b/src/cartdale/fleet/limit_gate.py
@@ -184,17 +184,17 @@
         each group offers together.
         """
         participants, span = self._participants, allotment.span
-        group_demands = _expect(participants.groups, service, span)
+        group_demands = _expected_demand(participants.groups, service, span)
         groups = redistribute_idle(group_demands, upstream, allotment.permits)
         own_group = find_share(participants.own_group, groups)
-        demands = _expect(participants.domain_peers, service, span)
+        demands = _expected_demand(participants.domain_peers, service, span)
         domain_peers = redistribute_idle(demands, upstream, own_group.count)
         own = find_share(participants.own, domain_peers)
         part = Share(own.count, own_group.first + own.first)
         return _Division(part, groups, domain_peers, group_demands, demands)
 
 
-def _expect(
+def _expected_demand(
     offers: Mapping[str, DemandByService], service: str, span: Millis
 ) -> dict[str, float | None]:
     """Return how many requests each offers in a span."""
--- a/src/cartdale/fleet/statements.py
+++ b/src/cartdale/fleet/statements.py
@@ -6,7 +6,7 @@
 
 from cartdale.clock import Millis
 from cartdale.fleet.departures import (
-    announce_departure,
+    departure_actions,
     is_of_another_life,
     take_word,
 )
@@ -27,7 +27,7 @@
 )
 
 
-def take_statement(
+def apply_announcement(
     state: FleetState, said: LeavingAnnounced | LimitAdvertised, now: Millis
 ) -> Decision:
     """Take what an upstream said to this instance or to a peer."""
@@ -38,7 +38,7 @@
         case LeavingAnnounced():
             told = take_word(known, said, now)
             began = known.lifecycle is not Lifecycle.LEAVING
-            actions = announce_departure(told) if began else ()
+            actions = departure_actions(told) if began else ()
             return put(state, told), actions
         case LimitAdvertised():
             return _take_limit(state, known, said)
@@ -61,7 +61,7 @@
     return after, (LimitChanged(named.upstream, limit.per_second),)
 
 
-def lapse_limits(state: FleetState, now: Millis) -> Decision:
+def expire_limits(state: FleetState, now: Millis) -> Decision:
     """End the limits that nobody was named for long."""
     lapsed = [
         each
--- a/src/cartdale/fleet/types.py
+++ b/src/cartdale/fleet/types.py
@@ -1,4 +1,4 @@
-"""Types of the fleet: upstreams, what they report and how they fare."""
+"""Types of the fleet: upstreams, their reports and their health."""
 
 from dataclasses import dataclass, field, replace
 from enum import StrEnum
@@ -10,23 +10,23 @@
 
 
 class Lifecycle(StrEnum):
-    """Say whether an upstream takes new work."""
+    """Whether an upstream accepts new work."""
 
     LIVE = 'live'
-    #: Said that it leaves, or was removed while it may still serve.
+    #: Announced that it is leaving, or was removed but may still be serving.
     LEAVING = 'leaving'
-    #: Its entry went during an outage of the store; it may come back.
+    #: Its entry disappeared in a store outage; it may come back.
     LAPSED = 'lapsed'
 
 
 @dataclass(frozen=True, slots=True)
 class UpstreamEntry:
-    """Describe an upstream as it described itself in the store.
+    """Describe an upstream as its own entry in the store does.
 
-    :param upstream: its id; a new start may have the same.
+    :param upstream: its id, which a later incarnation may reuse.
     :param address: ``IP:PORT``.
     :param cold_for: how much longer it is slow after its start.
-    :param born: Unix milliseconds of its start; 0 when it does not tell.
+    :param born: Unix milliseconds of its start; 0 if it does not report it.
     """
 
     upstream: str
@@ -41,10 +41,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RunReport:
-    """Describe a generation as its engine reported it.
+    """Describe a generation as reported by its engine.
 
     :param tokens: memory that it holds.
-    :param events: events made so far.
+    :param events: events produced so far.
     """
 
     request_id: str
@@ -55,12 +55,12 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineReport:
-    """Tell what an engine held some hundred milliseconds ago.
+    """Describe the state of an engine some hundred milliseconds ago.
 
-    :param used_tokens: memory that can't give way.
-    :param leaves_in: time until the engine is gone, if it is known.
-    :param leaving: whether the engine says that it leaves.
-    :param born: Unix milliseconds of its start; 0 when it does not tell.
+    :param used_tokens: memory that can't be reclaimed.
+    :param leaves_in: time until the engine is gone, if known.
+    :param leaving: whether the engine announces that it is leaving.
+    :param born: Unix milliseconds of its start; 0 if it does not report it.
     """
 
     running: int
@@ -75,13 +75,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Advisory:
-    """Hold what an upstream says of itself beside an answer.
+    """Hold the drain, back-off and rate-limit headers of a response.
 
-    :param leaving: whether it takes no new work any more.
-    :param backoff: how long it wants no requests from this instance, which it
-        turned away; 0 when it does not say.
-    :param limit: requests a second that it takes from all instances together,
-        infinite for any; ``None`` when the answer does not tell.
+    :param leaving: whether the upstream accepts no new work any more.
+    :param backoff: how long this instance, whose request was rejected, is to
+        send no requests; 0 if the response does not say.
+    :param limit: requests per second accepted from all instances together;
+        infinite for no limit, ``None`` if the response does not say.
     """
 
     leaving: bool = False
@@ -89,28 +89,32 @@
     limit: float | None = None
 
     def without_absence(self) -> 'Advisory':
-        """Return what it tells where a missing limit does not tell of none."""
+        """Return the advisory with "no limit" replaced by "unspecified".
+
+        For responses in which a missing limit does not mean that there is none.
+        """
         return replace(self, limit=None) if self.limit == inf else self
 
 
 @dataclass(frozen=True, slots=True)
 class Upstream:
-    """Hold what this instance believes of one upstream.
+    """Hold the state of one upstream as known to this instance.
 
     :param returned: whether its entry came back after it was missing.
     :param warm_at: when it stops being slow after its start.
     :param failing: share of recent requests that failed, 0 to 1.
-    :param strikes: failures in a row that show it unreachable.
+    :param strikes: consecutive failures to reach it.
     :param unreachable_until: until when it counts as unreachable, from
-        failures that this instance saw itself.
-    :param avoided_until: no new work before this time, if others can; for
-        failures seen here or told by others.
-    :param backoff_until: nothing is sent there before this time, as it asked
-        this instance.
-    :param leaving_observed_locally: whether it said in an answer to this
-        instance that it leaves.
-    :param unlisted: whether the store removed its entry since it leaves.
-    :param rate_limit: what it takes from all instances together.
+        failures observed by this instance.
+    :param avoided_until: no new work is sent before this time if another
+        upstream can take it; from failures observed here or by peers.
+    :param backoff_until: nothing is sent there before this time, as it
+        requested a back-off from this instance.
+    :param leaving_observed_locally: whether it announced in a response to
+        this instance that it is leaving.
+    :param unlisted: whether the store removed its entry after it began to
+        leave.
+    :param rate_limit: its limit for all instances together.
     """
 
     entry: UpstreamEntry
@@ -129,16 +133,16 @@
 
     @property
     def announced_leaving(self) -> bool:
-        """Tell whether it said itself that it leaves; it never returns."""
+        """Tell whether it announced that it is leaving; it never returns."""
         return self.entry.lifecycle is Lifecycle.LEAVING
 
 
 @dataclass(frozen=True, slots=True)
 class FleetState:
-    """Hold all upstreams by their ids, and what is evacuated.
+    """Hold all upstreams by id, and the evacuations of failure domains.
 
-    :param evacuation_status_by_domain: of the failure domains that are
-        evacuated or were.
+    :param evacuation_status_by_domain: of the failure domains that are or
+        were evacuated.
     """
 
     upstreams_by_id: dict[str, Upstream] = field(default_factory=dict)
@@ -151,9 +155,9 @@
 class EntriesListed:
     """The store listed all entries.
 
-    :param after_outage: whether the store was away before.
-    :param restored: whether it came back from an older copy just now: an entry
-        that is there may be one of an upstream that is gone.
+    :param after_outage: whether the store was unavailable before.
+    :param restored: whether the store was just restored from an older copy, in
+        which case an entry may belong to an upstream that is gone.
     """
 
     entries: tuple[UpstreamEntry, ...]
@@ -165,7 +169,7 @@
 class EntryWritten:
     """An upstream wrote its entry.
 
-    :param from_peer: whether a peer told it, who may be a little behind.
+    :param from_peer: whether a peer reported it; peers may be slightly behind.
     """
 
     entry: UpstreamEntry
@@ -176,9 +180,9 @@
 class EntryRemoved:
     """An upstream's entry is gone.
 
-    :param after_outage: whether the store was away shortly before.
-    :param from_peer: whether a peer told it, who may be a little behind.
-    :param born: start of the life that left, where a peer tells it.
+    :param after_outage: whether the store was unavailable shortly before.
+    :param from_peer: whether a peer reported it; peers may be slightly behind.
+    :param born: start of the incarnation that left, if a peer reports it.
     """
 
     upstream: str
@@ -189,10 +193,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LeavingAnnounced:
-    """An upstream said itself that it leaves, in an answer.
+    """An upstream announced in a response that it is leaving.
 
-    :param from_peer: whether a peer told it, whom it had answered.
-    :param born: start of the life that leaves; 0 when that is not told.
+    :param from_peer: whether the response went to a peer, which reported it.
+    :param born: start of the incarnation that is leaving; 0 if unknown.
     """
 
     upstream: str
@@ -202,9 +206,9 @@
 
 @dataclass(frozen=True, slots=True)
 class BackoffRequested:
-    """An upstream turned this instance away, and wants nothing for a while.
+    """An upstream rejected a request and requested a back-off.
 
-    :param backoff: how long, from now.
+    :param backoff: its length, from now.
     """
 
     upstream: str
@@ -213,9 +217,9 @@
 
 @dataclass(frozen=True, slots=True)
 class LimitAdvertised:
-    """An upstream named its rate limit, or none, in an answer.
+    """An upstream advertised its rate limit, or none, in a response.
 
-    :param born: start of the life that named it; 0 when that is not told.
+    :param born: start of the incarnation that advertised it; 0 if unknown.
     """
 
     upstream: str
@@ -227,8 +231,8 @@
 class RequestEnded:
     """A request's attempt at an upstream ended.
 
-    :param good: whether the upstream did what it was asked.
-    :param reached: whether the upstream answered at all.
+    :param good: whether the upstream served the request.
+    :param reached: whether the upstream responded at all.
     """
 
     upstream: str
@@ -238,21 +242,21 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportedUnreachable:
-    """Several others can't reach an upstream."""
+    """Several peers can't reach an upstream."""
 
     upstream: str
 
 
 @dataclass(frozen=True, slots=True)
 class AddressTakenOver:
-    """Another upstream answered at this one's address."""
+    """Another upstream responded at the address of this one."""
 
     upstream: str
 
 
 @dataclass(frozen=True, slots=True)
 class EvacuationsReceived:
-    """The store or a peer told of evacuations, present and past."""
+    """The store or a peer reported current and past evacuations."""
 
     evacuations: tuple[Evacuation, ...]
 
@@ -261,9 +265,9 @@
 class EvacuationsListed:
     """The store listed all evacuations.
 
-    :param revision: of the store when it listed.
-    :param restored: whether it came back from an older copy just now: one that
-        is missing may be written again.
+    :param revision: of the store at the time of the listing.
+    :param restored: whether the store was just restored from an older copy, in
+        which case a missing evacuation may be written again.
     """
 
     evacuations: tuple[Evacuation, ...]
@@ -273,42 +277,42 @@
 
 @dataclass(frozen=True, slots=True)
 class TimePassed:
-    """Drop what lapsed and did not come back."""
+    """Time passed; lapsed upstreams that did not come back are dropped."""
 
 
 @dataclass(frozen=True, slots=True)
 class BeganLeaving:
-    """Tell that running work should move away from an upstream."""
+    """Running work should move away from an upstream."""
 
     upstream: str
 
 
 @dataclass(frozen=True, slots=True)
 class Returned:
-    """Tell that an upstream which was missing takes new work again."""
+    """An upstream that was missing accepts new work again."""
 
     upstream: str
 
 
 @dataclass(frozen=True, slots=True)
 class Vanished:
-    """Tell that an upstream was dropped."""
+    """An upstream was dropped."""
 
     upstream: str
 
 
 @dataclass(frozen=True, slots=True)
 class Restarted:
-    """Tell that an upstream started again under its id: it holds nothing."""
+    """An upstream restarted under the same id and holds no work."""
 
     upstream: str
 
 
 @dataclass(frozen=True, slots=True)
 class LimitChanged:
-    """Tell that an upstream takes another rate.
+    """The rate limit of an upstream changed.
 
-    :param per_second: requests a second; infinite for no limit.
+    :param per_second: requests per second; infinite for no limit.
     """
 
     upstream: str
@@ -317,7 +321,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BeganEvacuating:
-    """Tell that nothing new may go to a failure domain."""
+    """No new work may go to a failure domain."""
 
     failure_domain: str
     revision: int
@@ -325,7 +329,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndedEvacuating:
-    """Tell that a failure domain takes new work again."""
+    """A failure domain accepts new work again."""
 
     failure_domain: str
     revision: int
--- a/src/cartdale/fleet/wait_forecast.py
+++ b/src/cartdale/fleet/wait_forecast.py
@@ -18,7 +18,7 @@
     ChoiceContext,
     RequestNeeds,
     count_missing,
-    reads_after,
+    find_reading_delay,
 )
 from cartdale.fleet.loads import Load
 from cartdale.fleet.types import Upstream
@@ -86,7 +86,7 @@
         load = context.loads_by_upstream.get(upstream.entry.upstream, Load())
         rate += _rate_of_ends(load, context)
         ends = _count_ends(upstream, load, needs, context)
-        found = (ends, reads_after(load, needs, context.pace))
+        found = (ends, find_reading_delay(load, needs, context.pace))
         if best is None or found < best:
             best = found
     if best is None:
