--- a/src/cartdale/fleet/advisories.py
+++ b/src/cartdale/fleet/advisories.py
@@ -1,4 +1,4 @@
-"""Record the notices that upstreams put beside their answers."""
+"""Record the advisories in responses of upstreams."""
 
 from loguru import logger
 
@@ -16,9 +16,9 @@
 
 
 class AdvisoryRecorder:
-    """Record notices, and hold back requests that they forbid.
+    """Record advisories, and withhold requests that they forbid.
 
-    :param fleet: holds what is believed of upstreams.
+    :param fleet: holds the state of upstreams.
     """
 
     def __init__(self, fleet: Fleet, clock: Clock) -> None:
@@ -26,7 +26,7 @@
         self._clock = clock
 
     def now(self) -> Millis:
-        """Return the time, as ``record`` takes that of a request."""
+        """Return the time, by the clock that ``record`` expects."""
         return self._clock.now()
 
     def record(
@@ -36,10 +36,10 @@
         request_id: str,
         asked_at: Millis,
     ) -> None:
-        """Record what an upstream says beside an answer, as its head comes.
+        """Record the advisory of a response when its head arrives.
 
-        :param request_id: of the request that was answered.
-        :param asked_at: when that was sent, in monotonic milliseconds.
+        :param request_id: of the request.
+        :param asked_at: when the request was sent, in monotonic milliseconds.
         """
         before = self._fleet.find(upstream)
         if before is None:
@@ -65,14 +65,15 @@
         )
 
     def must_withhold(self, upstream: str, *, resumes: bool) -> bool:
-        """Tell whether a request may not be sent to an upstream any more.
+        """Tell whether a request may no longer be sent to an upstream.
 
-        Asked when it is about to be sent, some time after it was placed: a
-        connection takes from a millisecond to seconds to come up, and others
-        that were placed at the same moment may have been turned away.
+        Called just before sending, some time after the placement: connecting
+        takes from a millisecond to seconds, and other requests that were placed
+        at the same moment may have been rejected meanwhile.
 
-        :param resumes: whether it goes on from a copy there. It is no new
-            work, and would be lost: one that leaves gets it all the same.
+        :param resumes: whether the request resumes from a copy there. It is no
+            new work and would be lost otherwise, so that it is sent to a
+            leaving upstream as well.
         """
         known = self._fleet.find(upstream)
         if known is None or known.backoff_until > self._clock.now():
@@ -88,15 +89,17 @@
             return
         named = RateLimit(advisory.limit, asked_at, self._clock.now())
         upstream, history = known.entry.upstream, self._fleet.limits.history
-        told = named.limited or known.rate_limit.limited or upstream in history
-        # Nearly all answers name none where there was none.
-        if told:
+        relevant = (
+            named.limited or known.rate_limit.limited or upstream in history
+        )
+        # Nearly all responses advertise no limit where there was none before.
+        if relevant:
             history.note(upstream, named, self._clock.now())
             self._fleet.dispatch(LimitAdvertised(upstream, named))
 
 
 def _is_same(before: Upstream, after: Upstream) -> bool:
-    """Tell whether nothing changed but how long a limit is known."""
+    """Tell whether nothing changed except the times of a limit."""
     if before is after:
         return True
     limits = before.rate_limit, after.rate_limit
--- a/src/cartdale/fleet/departures.py
+++ b/src/cartdale/fleet/departures.py
@@ -1,4 +1,4 @@
-"""Decide whether an upstream that leaves is believed, and when it is back."""
+"""Decide when an upstream counts as leaving and when it has returned."""
 
 from dataclasses import replace
 
@@ -13,28 +13,31 @@
     UpstreamEntry,
 )
 
-#: What a peer tells against what the store showed here counts only after so
-#: long: peers repeat what changed for three seconds.
+#: A peer's report that contradicts what the store showed here is ignored for
+#: this long: peers repeat changes for three seconds.
 PEER_REPORT_IGNORED_MS: Millis = 4 * SECOND_MS
-#: A removed upstream is forgotten after so long; until then its running work
-#: is still known to be there.
+#: A removed upstream is forgotten after this time; until then its running work
+#: is still accounted for.
 LEAVING_KEPT_MS: Millis = MINUTE_MS // 2
-#: The same for one that said itself that it leaves, while its entry may still
-#: say otherwise: it serves on for as long as the store is away, which may be
-#: minutes, and its old entry comes back with the store.
+#: The same for an upstream that announced that it is leaving while its entry
+#: may still be unchanged: it keeps serving while the store is unavailable,
+#: which may take minutes, and its old entry comes back with the store.
 ANNOUNCED_LEAVING_KEPT_MS: Millis = 10 * MINUTE_MS
 
 
-def take_word(known: Upstream, said: LeavingAnnounced, now: Millis) -> Upstream:
-    """Take an upstream's own word that it leaves, as if its entry said so.
+def apply_leaving(
+    known: Upstream, announcement: LeavingAnnounced, now: Millis
+) -> Upstream:
+    """Apply an announcement of leaving as if the upstream's entry said so.
 
-    It is newer than what the store and peers tell, and no life takes it back:
-    an entry that says otherwise is older, or one of the next life.
+    It is newer than the reports of the store and of peers, and an incarnation
+    never withdraws it: an entry that contradicts it is older or belongs to the
+    next incarnation.
     """
-    if is_of_another_life(said.born, known):
+    if is_of_another_life(announcement.born, known):
         return known
     leaving_observed_locally = (
-        known.leaving_observed_locally or not said.from_peer
+        known.leaving_observed_locally or not announcement.from_peer
     )
     if (
         known.announced_leaving
@@ -53,7 +56,7 @@
 
 
 def departure_actions(upstream: Upstream) -> tuple[Action, ...]:
-    """Return what others are told of an upstream that leaves."""
+    """Return the actions for an upstream, if it is leaving."""
     if upstream.lifecycle is Lifecycle.LEAVING:
         return (BeganLeaving(upstream.entry.upstream),)
     return ()
@@ -66,9 +69,10 @@
     *,
     from_peer: bool,
 ) -> Upstream:
-    """Return an upstream as it is back, if it was only missing.
+    """Return a leaving upstream updated by an entry.
 
-    One that says that it leaves does not come back in this life.
+    It is live again if it was only missing. An upstream that announced that it
+    is leaving does not return in the same incarnation.
     """
     if entry.lifecycle is Lifecycle.LEAVING and not known.announced_leaving:
         return replace(known, entry=entry)
@@ -88,9 +92,10 @@
 def is_stale_report(
     known: Upstream, message: EntryRemoved, now: Millis
 ) -> bool:
-    """Tell whether a peer told of what was before this instance knew better.
+    """Tell whether a peer's report is older than the state known here.
 
-    A life that is over, or an entry that was missing and came back.
+    It may concern a previous incarnation, or an entry that was missing and has
+    come back.
     """
     if is_of_another_life(message.born, known):
         return True
@@ -98,28 +103,28 @@
 
 
 def find_retention(leaving: Upstream) -> Millis:
-    """Return for how long an upstream that leaves is remembered."""
-    may_be_back = leaving.announced_leaving and not leaving.unlisted
-    return ANNOUNCED_LEAVING_KEPT_MS if may_be_back else LEAVING_KEPT_MS
+    """Return for how long a leaving upstream is remembered."""
+    may_be_listed = leaving.announced_leaving and not leaving.unlisted
+    return ANNOUNCED_LEAVING_KEPT_MS if may_be_listed else LEAVING_KEPT_MS
 
 
 def find_warm_at(
     known: Upstream, entry: UpstreamEntry, now: Millis, *, from_peer: bool
 ) -> Millis:
-    """Return when an upstream is warm; it may turn cold at any moment.
+    """Return when an upstream is warm; it may become cold at any moment.
 
-    What a peer tells may be older than what the store showed here, and never
-    makes it warm earlier.
+    A peer's report may be older than what the store showed here, and never
+    makes the upstream warm earlier.
     """
     if entry == known.entry:
         return known.warm_at
-    told = now + entry.cold_for
-    return max(known.warm_at, told) if from_peer else told
+    reported = now + entry.cold_for
+    return max(known.warm_at, reported) if from_peer else reported
 
 
 def is_of_another_life(born: Millis, known: Upstream) -> bool:
-    """Tell whether an upstream has started again since a life was told of.
+    """Tell whether a report concerns another incarnation of an upstream.
 
-    :param born: start of that life; 0 when it is not told.
+    :param born: start of the reported incarnation; 0 if unknown.
     """
     return bool(born and known.entry.born) and born != known.entry.born
--- a/src/cartdale/fleet/division.py
+++ b/src/cartdale/fleet/division.py
@@ -1,11 +1,11 @@
-"""Divide among instances what all of them together may send to an upstream.
+"""Divide the rate that an upstream accepts among the instances.
 
-Nobody counts for all: a counter on the wire is late, and wrong during a
-partition. What may be sent is divided beforehand, into whole requests, by
-rendezvous hashing of the instances' names with the upstream's (Thaler and
+There is no shared counter, which would lag behind and be wrong during a network
+partition. The permitted requests are divided in advance, in whole numbers, by
+rendezvous hashing of the names of the instances and the upstream (Thaler and
 Ravishankar, Using Name-Based Mappings to Increase Hit Rates, 1998). Neither
 silence nor a restart changes the list of names, so that both sides of a
-partition divide alike.
+partition compute the same division.
 """
 
 import zlib
@@ -13,19 +13,20 @@
 from dataclasses import dataclass
 from math import ceil
 
-#: What an instance offers an upstream's service, in requests for each span of
-#: its permits; ``None`` where that is not known.
+#: Demand of each participant for an upstream's service, in requests per span of
+#: a permit; ``None`` if unknown.
 Demands = Mapping[str, float | None]
 
 
 @dataclass(frozen=True, slots=True)
 class Participants:
-    """Name those among whom a bound is divided.
+    """Name the participants among which a bound is divided.
 
-    :param own: this instance's name.
-    :param domain: this instance's failure domain.
+    :param own: name of this instance.
+    :param domain: failure domain of this instance.
     :param domains: all failure domains.
-    :param domain_peers: the instances of this one's domain, itself included.
+    :param domain_peers: the instances of this instance's domain, including
+        itself.
     """
 
     own: str
@@ -36,10 +37,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Share:
-    """Hold which of the permits of an upstream are an instance's.
+    """Hold an instance's share of the permits of an upstream.
 
-    :param count: how many.
-    :param first: how many go before them, in an order that all agree on.
+    :param count: number of permits.
+    :param first: number of permits before them, in an order on which all
+        instances agree.
     """
 
     count: int = 0
@@ -49,79 +51,82 @@
 def divide(
     participants: Iterable[str], upstream: str, total: int
 ) -> dict[str, int]:
-    """Return each sharer's part of a whole number; the parts add up to it.
+    """Divide a whole number into shares, which add up to it.
 
-    Who gets one more than others differs from upstream to upstream.
+    Which participants get one more than the others depends on the upstream.
 
-    :returns: the parts by sharer, in the order in which they get them.
+    :returns: the shares by participant, in order of allocation.
     """
-    ranked = sorted(participants, key=lambda name: _weigh(name, upstream))
-    share, rest = divmod(total, max(len(ranked), 1))
-    return {name: share + (place < rest) for place, name in enumerate(ranked)}
+    ranked = sorted(participants, key=lambda name: _hash_rank(name, upstream))
+    share, remainder = divmod(total, max(len(ranked), 1))
+    return {
+        name: share + (rank < remainder) for rank, name in enumerate(ranked)
+    }
 
 
 def redistribute_idle(
     demands: Demands, upstream: str, total: int
 ) -> dict[str, int]:
-    """Divide a whole number, and lend the idle parts to who can use them.
+    """Divide a whole number, and lend idle shares to participants in need.
 
-    Whoever was not heard of keeps its part, since it may use it behind a
-    partition, and is lent none.
+    A participant whose demand is unknown keeps its share, since it may use it
+    on the other side of a network partition, and borrows none.
 
-    :param demands: of all sharers, for each span in which a part may be used
+    :param demands: of all participants, per span in which a permit may be used
         once.
-    :returns: the parts by sharer; they add up to the total.
+    :returns: the shares by participant; they add up to the total.
     """
-    parts = divide(demands, upstream, total)
+    shares = divide(demands, upstream, total)
     wanted = {
         name: ceil(demand)
-        for name in parts
+        for name in shares
         if (demand := demands[name]) is not None
     }
     idle = [
         name
-        for name, part in parts.items()
-        for _ in range(part - wanted.get(name, part))
+        for name, share in shares.items()
+        for _ in range(share - wanted.get(name, share))
     ]
     while idle:
-        borrowers = [name for name in wanted if wanted[name] > parts[name]]
+        borrowers = [name for name in wanted if wanted[name] > shares[name]]
         if not borrowers:
             break
-        # One each, in an order that does not change with what they lack.
+        # One each, in an order that does not depend on their demand.
         for borrower, lender in zip(borrowers, tuple(idle), strict=False):
-            parts[lender] -= 1
-            parts[borrower] += 1
+            shares[lender] -= 1
+            shares[borrower] += 1
             idle.remove(lender)
-    return parts
+    return shares
 
 
 def gave_idle_ones(
     before: Mapping[str, int], after: Mapping[str, int], demands: Demands
 ) -> bool:
-    """Tell whether all who have less now have as much as they can use.
+    """Tell whether a new division takes only idle permits from participants.
 
-    They have not used what they gave for a while, then.
+    True if all participants with a smaller share than before can still meet
+    their demand: they have not used the lent permits for a while.
     """
-    for name, part in after.items():
+    for name, share in after.items():
         demand = demands[name]
-        given = part < before.get(name, 0)
-        if given and (demand is None or ceil(demand) > part):
+        reduced = share < before.get(name, 0)
+        if reduced and (demand is None or ceil(demand) > share):
             return False
     return True
 
 
-def find_share(own: str, parts: Mapping[str, int]) -> Share:
-    """Return one sharer's part of a division.
+def find_share(own: str, shares: Mapping[str, int]) -> Share:
+    """Return the share of one participant.
 
-    :param parts: by sharer, in the order in which they get parts.
+    :param shares: by participant, in order of allocation.
     """
     first = 0
-    for name, count in parts.items():
+    for name, count in shares.items():
         if name == own:
             return Share(count, first)
         first += count
     return Share()
 
 
-def _weigh(name: str, upstream: str) -> tuple[int, str]:
+def _hash_rank(name: str, upstream: str) -> tuple[int, str]:
     return zlib.crc32(f'{name} {upstream}'.encode()), name
--- a/src/cartdale/fleet/driver.py
+++ b/src/cartdale/fleet/driver.py
@@ -247,6 +247,7 @@
     def filled_share(self, needs: RequestNeeds) -> float:
         """Return the filled share of the engines that could serve a request.
 
+        From 0, with the expected growth, which may exceed 1; 1 without any
         engines.
         """
         context = self._make_context(needs, None)
--- a/src/cartdale/fleet/limit_gate.py
+++ b/src/cartdale/fleet/limit_gate.py
@@ -1,4 +1,4 @@
-"""Keep to the rate limits of upstreams, for this instance's part."""
+"""Enforce this instance's share of the rate limits of upstreams."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -13,19 +13,19 @@
 )
 from cartdale.fleet.permits import Allotment, Permits, allot
 
-#: What somebody offers, in requests a second by service; a service that is
-#: missing is not told, and ``None`` stands for who was not heard of.
+#: Demand of an instance or group, in requests per second by service. The demand
+#: for a missing service is unknown; ``None`` if no news was received.
 DemandByService = Mapping[str, float] | None
 
 
 @dataclass(frozen=True, slots=True)
 class LimitParticipants:
-    """Name those among whom limits are divided.
+    """Name the participants among which limits are divided.
 
-    :param own: this instance's name.
-    :param own_group: the group of instances that it belongs to.
-    :param groups: what all of each group offer together.
-    :param domain_peers: what the instances of the own group offer.
+    :param own: name of this instance.
+    :param own_group: the group of instances to which it belongs.
+    :param groups: total demand of each group.
+    :param domain_peers: demand of each instance of the own group.
     """
 
     own: str = ''
@@ -36,23 +36,23 @@
 
 @dataclass(frozen=True, slots=True)
 class _Division:
-    """Hold how an upstream's permits are divided.
+    """Hold the division of an upstream's permits.
 
-    :param part: of this instance.
+    :param share: of this instance.
     :param groups: permits by group of instances.
     :param domain_peers: permits by instance of the own group.
-    :param group_demands: requests of each group in the span of a permit.
-    :param demands: the same of the instances of the own group.
+    :param group_demands: requests of each group per span of a permit.
+    :param demands: the same for the instances of the own group.
     """
 
-    part: Share
+    share: Share
     groups: Mapping[str, int]
     domain_peers: Mapping[str, int]
     group_demands: Demands
     demands: Demands
 
     def gave_idle_ones(self, before: '_Division') -> bool:
-        """Tell whether what was given since was not used by its holders."""
+        """Tell whether only idle permits changed hands since a division."""
         return gave_idle_ones(
             before.groups, self.groups, self.group_demands
         ) and gave_idle_ones(
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Limited:
-    """Hold an upstream that has a limit, and the own permits for it."""
+    """Hold the permits of this instance for an upstream with a limit."""
 
     service: str
     permits: Permits
@@ -70,21 +70,21 @@
 
 
 class LimitGate:
-    """Count what this instance sends to upstreams with a limit.
+    """Count the requests that this instance sends to rate-limited upstreams.
 
-    Until the sharers are known it lets nothing pass.
+    Permits no request until the participants are known.
     """
 
     def __init__(self) -> None:
         self._participants = LimitParticipants()
         self._limited_by_upstream: dict[str, _Limited] = {}
-        #: Requests that were held back as they were about to be sent.
+        #: Number of requests that were withheld just before sending.
         self.withheld = 0
 
     def divide_among(
         self, participants: LimitParticipants, now: Millis
     ) -> None:
-        """Take who shares the limits, and what they offer."""
+        """Set the participants that share the limits, with their demand."""
         before = self._participants
         if participants == before:
             return
@@ -96,10 +96,10 @@
             )
             if before.own:
                 idle = division.gave_idle_ones(limited.division)
-                permits.resize(division.part, now, idle=idle)
+                permits.resize(division.share, now, idle=idle)
             else:
-                # Nothing passed here before, and nobody else had this part.
-                permits = Permits(permits.allotment, division.part, now)
+                # Nothing was sent before, and no other instance had this share.
+                permits = Permits(permits.allotment, division.share, now)
             self._limited_by_upstream[upstream] = _Limited(
                 limited.service, permits, division
             )
@@ -107,25 +107,25 @@
     def limit(
         self, upstream: str, service: str, per_second: float, now: Millis
     ) -> None:
-        """Take an upstream's limit, in requests a second."""
+        """Set the limit of an upstream, in requests per second."""
         allotment = allot(per_second)
         division = self._divide(upstream, service, allotment)
-        permits = Permits(allotment, division.part, now)
+        permits = Permits(allotment, division.share, now)
         self._limited_by_upstream[upstream] = _Limited(
             service, permits, division
         )
 
     def release(self, upstream: str) -> None:
-        """Note that an upstream has no limit any more, or is gone."""
+        """Remove the limit of an upstream that has none any more or is gone."""
         self._limited_by_upstream.pop(upstream, None)
 
     def list_services(self) -> frozenset[str]:
-        """Return the services of the upstreams that have a limit."""
+        """Return the services that have upstreams with a limit."""
         limited = self._limited_by_upstream.values()
         return frozenset(each.service for each in limited)
 
     def find(self, upstream: str) -> Permits | None:
-        """Return the own permits for an upstream; ``None`` for no limit."""
+        """Return this instance's permits; ``None`` if there is no limit."""
         limited = self._limited_by_upstream.get(upstream)
         return limited.permits if limited else None
 
@@ -138,12 +138,12 @@
         )
 
     def find_return_rate(self, service: str) -> float:
-        """Return the own part of a service's limits.
+        """Return this instance's share of the limits of a service.
 
-        An equal part where this instance has no permit: whoever returns may
-        come to another that has one.
+        If this instance has no permit, returns an equal share of the limits: a
+        retry may reach another instance that has one.
 
-        :returns: requests a millisecond; 0 where nothing is limited.
+        :returns: requests per millisecond; 0 if nothing is limited.
         """
         held = [
             limited.permits
@@ -154,14 +154,14 @@
             self._participants.domain_peers
         )
         rate = sum(permits.rate for permits in held)
-        whole = sum(permits.allotment.rate for permits in held)
-        return rate or whole / max(participants, 1)
+        total_rate = sum(permits.allotment.rate for permits in held)
+        return rate or total_rate / max(participants, 1)
 
     def spend(self, upstream: str, now: Millis, *, resumes: bool) -> bool:
         """Tell whether a request may be sent now, and count it.
 
-        :param resumes: whether it goes on from a copy there. It was stopped
-            for that and can't wait, so that it uses a later permit.
+        :param resumes: whether it resumes from a copy there. Such a request
+            was stopped for that and can't wait, so it uses a future permit.
         """
         permits = self.find(upstream)
         if permits is None:
@@ -171,17 +171,17 @@
         return passes
 
     def count_rate(self) -> float:
-        """Return this instance's part of all limits, in requests a second."""
+        """Return this instance's share of all limits, in requests a second."""
         limited = self._limited_by_upstream.values()
         return sum(each.permits.rate for each in limited) * SECOND_MS
 
     def _divide(
         self, upstream: str, service: str, allotment: Allotment
     ) -> _Division:
-        """Divide an upstream's permits.
+        """Divide the permits of an upstream.
 
-        Among the groups of instances first, which hear of each other only what
-        each group offers together.
+        Divides first among the groups of instances, which know of each other
+        only the total demand, then within the own group.
         """
         participants, span = self._participants, allotment.span
         group_demands = _expected_demand(participants.groups, service, span)
@@ -190,16 +190,16 @@
         demands = _expected_demand(participants.domain_peers, service, span)
         domain_peers = redistribute_idle(demands, upstream, own_group.count)
         own = find_share(participants.own, domain_peers)
-        part = Share(own.count, own_group.first + own.first)
-        return _Division(part, groups, domain_peers, group_demands, demands)
+        share = Share(own.count, own_group.first + own.first)
+        return _Division(share, groups, domain_peers, group_demands, demands)
 
 
 def _expected_demand(
-    offers: Mapping[str, DemandByService], service: str, span: Millis
+    demands: Mapping[str, DemandByService], service: str, span: Millis
 ) -> dict[str, float | None]:
-    """Return how many requests each offers in a span."""
+    """Return the demand of each participant, in requests per span."""
     expected: dict[str, float | None] = {}
-    for name, offered in offers.items():
-        rate = None if offered is None else offered.get(service)
+    for name, demand in demands.items():
+        rate = None if demand is None else demand.get(service)
         expected[name] = None if rate is None else rate * span / SECOND_MS
     return expected
--- a/src/cartdale/fleet/permits.py
+++ b/src/cartdale/fleet/permits.py
@@ -1,10 +1,10 @@
-"""Permits: turn a rate limit into whole requests, and spend one's own.
+"""Convert rate limits into whole permits, and spend an instance's permits.
 
-A limit may be less than a request a second, before hundreds of instances. It is
-turned into a whole number of permits, each of which lets one request pass in a
-span, so that all of them together allow the limit exactly. Few instances hold
-a permit then, instead of all a fraction: fractions that were saved up would
-come as one request from each, all at the same moment.
+A limit may be less than one request per second for hundreds of instances. It is
+converted into a whole number of permits, each of which permits one request per
+span, so that all permits together allow exactly the limit. Few instances then
+hold a permit, instead of all holding a fraction: saved fractions would result
+in one request from each instance, all at the same moment.
 """
 
 from bisect import insort
@@ -15,30 +15,31 @@
 from cartdale.fleet.division import Share
 from cartdale.fleet.reservations import Reservations
 
-#: An upstream's requests are counted over so long. No permit lets two pass in
-#: it, so that after a pause no more come at once than there are permits.
+#: Upstreams count requests over this window. No permit is used twice within it,
+#: so that a burst after a pause has at most as many requests as there are
+#: permits.
 _COUNTED_OVER: Millis = 4 * SECOND_MS
-#: The most permits, which bounds the work of dividing them; they last shorter
-#: where the limit is higher.
+#: Maximum number of permits, which bounds the cost of dividing them; above it,
+#: a higher limit shortens their span.
 _MOST_PERMITS = 256
-#: Taken for a lower limit, also for none at all: only answers tell that it has
-#: ended, and without requests there are none.
+#: Used in place of lower limits, including 0: only responses show that a limit
+#: has ended, and without requests there are none.
 _LEAST_PER_SECOND = 0.1
-#: Part of its span by which a permit that waited for a request may make up for
-#: that. Without it a permit takes a span and the wait, and where each instance
-#: has few requests the limit would not be used. The more, the longer spans are,
-#: and the more requests come at once after a pause.
+#: Share of its span by which a permit that waited for a request may be used
+#: again earlier. Without it each use takes a span plus the wait, so that the
+#: limit is not fully used where each instance has few requests. A larger share
+#: makes spans longer and bursts after a pause larger.
 _MADE_UP_SHARE = 0.25
-#: Span of the permits, while there are few of them.
+#: Span of a permit if there are fewer than the maximum.
 _SPAN: Millis = int(_COUNTED_OVER / (1 - _MADE_UP_SHARE))
 
 
 @dataclass(frozen=True, slots=True)
 class Allotment:
-    """Say how many permits an upstream's limit makes.
+    """Hold the permits of an upstream's limit.
 
-    :param permits: for all instances together.
-    :param span: time in which each lets one request pass.
+    :param permits: number for all instances together.
+    :param span: time in which each permits one request.
     """
 
     permits: int
@@ -51,29 +52,30 @@
 
 
 def allot(per_second: float) -> Allotment:
-    """Return the permits of a limit, in requests a second."""
+    """Return the permits of a limit in requests per second."""
     rate = max(per_second, _LEAST_PER_SECOND) / SECOND_MS
     permits = min(ceil(rate * _SPAN), _MOST_PERMITS)
     return Allotment(permits, int(permits / rate))
 
 
 class Permits:
-    """Hold an instance's own permits for one upstream.
+    """Hold an instance's permits for one upstream.
 
-    All of them count as just used, evenly spread over their span: while
-    nothing was limited, others sent what they wanted.
+    All of them start as just used, spread evenly over their span, since all
+    instances sent without a limit before.
 
     :param allotment: of the upstream.
-    :param part: which of its permits are this instance's.
+    :param share: this instance's share of its permits.
     """
 
-    def __init__(self, allotment: Allotment, part: Share, now: Millis) -> None:
+    def __init__(self, allotment: Allotment, share: Share, now: Millis) -> None:
         self.allotment = allotment
-        #: When each can be used, the next one first.
+        #: When each permit can be used, in ascending order.
         self._ready_at: list[Millis] = [
-            now + self._find_turn(part, number) for number in range(part.count)
+            now + self._find_turn(share, number)
+            for number in range(share.count)
         ]
-        #: Of permits, for requests that were placed.
+        #: Permits reserved for requests that were placed.
         self._reservations = Reservations()
 
     @property
@@ -81,22 +83,22 @@
         """Return how many requests pass in a millisecond."""
         return len(self._ready_at) / max(self.allotment.span, 1)
 
-    def resize(self, part: Share, now: Millis, *, idle: bool) -> None:
-        """Hold more or fewer permits.
+    def resize(self, share: Share, now: Millis, *, idle: bool) -> None:
+        """Change the number of permits.
 
-        One that is new was another's, who may have used it just now.
+        A new permit belonged to another instance, which may have just used it.
 
-        :param idle: whether whoever gave some did not use them of late.
+        :param idle: whether its previous holder did not use it recently.
         """
-        self._ready_at = self._ready_at[: part.count]
+        self._ready_at = self._ready_at[: share.count]
         wait = 0 if idle else self.allotment.span
-        for number in range(len(self._ready_at), part.count):
-            insort(self._ready_at, now + wait + self._find_turn(part, number))
+        for number in range(len(self._ready_at), share.count):
+            insort(self._ready_at, now + wait + self._find_turn(share, number))
 
     def next_at(self, ahead: int, now: Millis) -> Millis | None:
-        """Return when a request can pass; ``None`` without any permit.
+        """Return when a request can be sent; ``None`` without any permit.
 
-        :param ahead: requests that pass before it.
+        :param ahead: number of requests that are sent before it.
         """
         if not self._ready_at:
             return None
@@ -112,13 +114,14 @@
         return ready_at is not None and ready_at <= now
 
     def reserve(self, now: Millis) -> None:
-        """Keep a permit for a request that was placed."""
+        """Reserve a permit for a request that was placed."""
         self._reservations.add(now)
 
     def spend(self, now: Millis, *, ahead_of_time: bool = False) -> bool:
-        """Let a request pass that is sent now, if there is a permit.
+        """Use a permit for a request that is sent now; tell whether it may.
 
-        :param ahead_of_time: use one that lets the next request pass later.
+        :param ahead_of_time: also use a permit that is not ready yet, which
+            delays the next request.
         """
         self._reservations.drop(now)
         if not self._ready_at:
@@ -132,7 +135,7 @@
         insort(self._ready_at, max(ready_at + span, earliest))
         return True
 
-    def _find_turn(self, part: Share, number: int) -> Millis:
-        """Return when in its span an own permit has its turn among all."""
+    def _find_turn(self, share: Share, number: int) -> Millis:
+        """Return the offset in the span at which a permit is first ready."""
         allotment = self.allotment
-        return allotment.span * (part.first + number + 1) // allotment.permits
+        return allotment.span * (share.first + number + 1) // allotment.permits
--- a/src/cartdale/fleet/rate_limits.py
+++ b/src/cartdale/fleet/rate_limits.py
@@ -1,11 +1,12 @@
 """Decide which rate limit of an upstream is in force.
 
-An upstream names its limit, for all instances together, in each of its answers
-for as long as it holds. Answers overtake each other: one that names no limit
-may be older than one that does. Each tells of some moment between its request
-and its head, so that only an answer whose request was sent after another's
-head is surely the newer one. In doubt the lower limit holds; the next answers
-settle it.
+An upstream advertises its limit, for all instances together, in each response
+while the limit is in force. Responses may arrive out of order: one without a
+limit may be older than one with a limit. Each describes some moment between the
+sending of its request and the arrival of its head, so that a response is
+certainly newer than another only if its request was sent after the other's head
+arrived. If the order is unknown, the lower limit applies until the next
+responses.
 """
 
 from collections.abc import Iterable
@@ -14,14 +15,15 @@
 
 from cartdale.clock import MINUTE_MS, SECOND_MS, Millis
 
-#: A limit that is named again counts as known for longer only after so long:
-#: each answer names it.
+#: Minimum time between updates of the times of an unchanged limit, which each
+#: response advertises.
 _NAMED_AGAIN: Millis = SECOND_MS // 2
-#: A limit that nobody was named for so long is not kept. While it holds and
-#: anybody sends there it is named and told all the time; whoever was cut off
-#: as it ended, and has no permit to ask by itself, would keep it for ever.
+#: A limit expires if it was not advertised for this long. While it is in force
+#: and any instance sends requests, it is advertised and published continually.
+#: An instance that was cut off when it ended and has no permit to send a
+#: request itself would otherwise keep it forever.
 LIMIT_KEPT_MS: Millis = MINUTE_MS
-#: A limit may have ended once it was not named for so long.
+#: A limit may have ended if it was not advertised for this long.
 _NAMED_OF_LATE: Millis = SECOND_MS
 
 
@@ -29,10 +31,10 @@
 class RateLimit:
     """Bound the requests that an upstream gets from all instances together.
 
-    :param per_second: requests a second; infinite for no limit.
-    :param asked_at: when the request was sent whose answer named it last, in
-        monotonic milliseconds.
-    :param answered_at: when the head of that answer came.
+    :param per_second: requests per second; infinite for no limit.
+    :param asked_at: when the request was sent whose response last advertised
+        it, in monotonic milliseconds.
+    :param answered_at: when the head of that response arrived.
     """
 
     per_second: float = inf
@@ -45,7 +47,7 @@
         return isfinite(self.per_second)
 
     def may_have_ended(self, now: Millis) -> bool:
-        """Tell whether the upstream has not named the limit of late."""
+        """Tell whether the limit was not advertised recently."""
         return self.limited and now - self.answered_at > _NAMED_OF_LATE
 
 
@@ -70,18 +72,19 @@
 
 
 def parse_limit(lines: Iterable[bytes]) -> float | None:
-    """Read how many requests a second an upstream takes.
+    """Parse an upstream's limit, in requests per second.
 
     :param lines: the header's values, which may be lists.
-    :returns: the lowest of several; infinite when none is named; ``None`` when
-        what is named is no number of requests, which says nothing at all.
+    :returns: the lowest of several; infinite if there is none; ``None`` if a
+        value is not a valid number of requests, in which case the header is
+        ignored.
     """
     numbers = [text for line in lines for text in line.split(b',')]
     try:
         limits = [float(number) for number in numbers]
     except ValueError:
         return None
-    # Also false for what is not a number.
+    # Also false for NaN.
     if not all(limit >= 0 for limit in limits):
         return None
     return min(limits, default=inf)
--- a/src/cartdale/fleet/statements.py
+++ b/src/cartdale/fleet/statements.py
@@ -1,4 +1,4 @@
-"""Decide what follows from what upstreams say of themselves in answers."""
+"""Apply the departures and rate limits that upstreams announce."""
 
 from dataclasses import replace
 from math import inf
@@ -6,9 +6,9 @@
 
 from cartdale.clock import Millis
 from cartdale.fleet.departures import (
+    apply_leaving,
     departure_actions,
     is_of_another_life,
-    take_word,
 )
 from cartdale.fleet.health import put
 from cartdale.fleet.rate_limits import (
@@ -28,25 +28,27 @@
 
 
 def apply_announcement(
-    state: FleetState, said: LeavingAnnounced | LimitAdvertised, now: Millis
+    state: FleetState,
+    announcement: LeavingAnnounced | LimitAdvertised,
+    now: Millis,
 ) -> Decision:
-    """Take what an upstream said to this instance or to a peer."""
-    known = state.upstreams_by_id.get(said.upstream)
+    """Apply what an upstream announced to this instance or to a peer."""
+    known = state.upstreams_by_id.get(announcement.upstream)
     if known is None:
         return state, ()
-    match said:
+    match announcement:
         case LeavingAnnounced():
-            told = take_word(known, said, now)
+            leaving = apply_leaving(known, announcement, now)
             began = known.lifecycle is not Lifecycle.LEAVING
-            actions = departure_actions(told) if began else ()
-            return put(state, told), actions
+            actions = departure_actions(leaving) if began else ()
+            return put(state, leaving), actions
         case LimitAdvertised():
-            return _take_limit(state, known, said)
+            return _apply_limit(state, known, announcement)
         case _:
-            assert_never(said)
+            assert_never(announcement)
 
 
-def _take_limit(
+def _apply_limit(
     state: FleetState, known: Upstream, named: LimitAdvertised
 ) -> Decision:
     if is_of_another_life(named.born, known):
@@ -62,7 +64,7 @@
 
 
 def expire_limits(state: FleetState, now: Millis) -> Decision:
-    """End the limits that nobody was named for long."""
+    """End the limits that were not advertised for a long time."""
     lapsed = [
         each
         for each in state.upstreams_by_id.values()
--- a/src/cartdale/fleet/upstream_limits.py
+++ b/src/cartdale/fleet/upstream_limits.py
@@ -1,4 +1,4 @@
-"""Keep to the rate limits of upstreams: what is known, and what is due."""
+"""Track the rate limits of upstreams and the permits for them."""
 
 from collections.abc import Collection
 from math import isfinite
@@ -19,7 +19,7 @@
 
 
 class UpstreamLimits:
-    """Own what this instance needs to keep to upstreams' limits."""
+    """Own the limit gate, the limit history and the demand meter."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
@@ -28,9 +28,9 @@
         self._demand = DemandMeter()
 
     def follow(self, action: Action, known: Upstream | None) -> None:
-        """Take what changed.
+        """Apply a change of the fleet.
 
-        :param known: the upstream that is about, if it is known.
+        :param known: the upstream that changed, if it is known.
         """
         match action:
             case LimitChanged(upstream=upstream, per_second=per_second):
@@ -43,13 +43,13 @@
                 self.gate.release(gone)
 
     def note_arrival(self, service: str) -> None:
-        """Count a request that is to be placed."""
+        """Count a request that waits for placement."""
         self._demand.note(service, self._clock.now())
 
     def measure_demand(self) -> dict[str, float]:
-        """Return what callers here ask of services with limited upstreams.
+        """Return the local demand for services with rate-limited upstreams.
 
-        :returns: requests a second, by service.
+        :returns: requests per second, by service.
         """
         services = self.gate.list_services()
         return self._demand.measure(services, self._clock.now())
@@ -62,7 +62,7 @@
         return needs.sends and permits.is_free(self._clock.now())
 
     def reserve(self, upstream: Upstream, needs: RequestNeeds) -> None:
-        """Keep a permit for a request that was placed at an upstream."""
+        """Reserve a permit for a request that was placed at an upstream."""
         permits = self.gate.find(upstream.entry.upstream)
         if permits is not None and needs.sends:
             permits.reserve(self._clock.now())
@@ -74,17 +74,17 @@
         context: ChoiceContext,
         ahead: int,
     ) -> list[WaitForecast]:
-        """Return when a request finds room at upstreams with limits.
+        """Forecast when a request finds capacity at rate-limited upstreams.
 
-        :param candidates: those that take new work.
-        :param ahead: requests that are served before it.
+        :param candidates: upstreams that accept new work.
+        :param ahead: number of requests that are served before it.
         """
         forecasts: list[WaitForecast] = []
         for upstream in candidates:
             permits = self.gate.find(upstream.entry.upstream)
             if permits is None:
                 continue
-            # Those before this request take what comes first anywhere.
+            # The requests ahead use the next permits of all candidates evenly.
             ready_at = permits.next_at(ahead // len(candidates), context.now)
             if ready_at is not None:
                 wait: Millis = ready_at - context.now
--- a/src/cartdale/fleet/wait_forecast.py
+++ b/src/cartdale/fleet/wait_forecast.py
@@ -1,11 +1,11 @@
-"""Forecast when a full service has room for one more request.
-
-Room comes when generations end. Nobody knows when one does, but what all of
-them are still expected to make, and how long a token takes, give the rate at
-which they end; how many must end follows from the memory, or the places, that
-are missing at the engine which lacks the least. Ends that are independent of
-each other make a Poisson process, so that the chance of room within some time
-is the chance of that many ends.
+"""Forecast when a full service has capacity for one more request.
+
+Capacity becomes free when generations end. It is unknown when a single one
+ends, but the number of tokens that all are still expected to generate and the
+time per token give the rate at which they end. The number that must end follows
+from the memory, or the slots, that are missing at the engine which lacks the
+least. Independent ends form a Poisson process, so that the chance of capacity
+within some time is the chance of that many ends.
 """
 
 from collections.abc import Collection, Iterable
@@ -23,21 +23,21 @@
 from cartdale.fleet.loads import Load
 from cartdale.fleet.types import Upstream
 
-#: More ends than these are not hoped for; the sum stays short.
-_MOST_ENDS = 60
+#: If more requests must end, the chance counts as 0; bounds the sum.
+_MAX_ENDS = 60
 
 
 @dataclass(frozen=True, slots=True)
 class WaitForecast:
-    """Say what must happen before there is room.
-
-    :param ends: requests that must end.
-    :param rate: requests that end in a millisecond, over all upstreams.
-    :param reading: longest time until prompts that wait at the best engine
-        are read, beyond what a request may wait for that; and until something
-        may be sent, where that is not now.
-    :param backoff: time until something may be sent, where all upstreams
-        rest or have had this instance's part of their limit.
+    """Describe what must happen before there is capacity.
+
+    :param ends: number of requests that must end.
+    :param rate: requests that end per millisecond, over all upstreams.
+    :param reading: time until the prompts queued at the best engine are read,
+        beyond the time that a request may wait for that, plus the time until a
+        request may be sent.
+    :param backoff: time until a request may be sent, if all upstreams are
+        backing off or this instance has used its share of their limits.
     """
 
     ends: int
@@ -46,12 +46,12 @@
     backoff: Millis = 0
 
     def chance(self, within: Millis) -> float:
-        """Return the chance of room within a time, 0 to 1."""
+        """Return the chance of capacity within a time, 0 to 1."""
         if within < self.reading:
             return 0
         if not self.ends:
             return 1
-        if not self.rate or self.ends > _MOST_ENDS:
+        if not self.rate or self.ends > _MAX_ENDS:
             return 0
         expected = self.rate * (within - self.reading)
         term = exp(-expected)
@@ -62,7 +62,7 @@
         return 1 - fewer
 
     def expected_wait(self) -> Millis | None:
-        """Return the mean time until there is room; ``None`` for never."""
+        """Return the mean time until there is capacity; ``None`` for never."""
         if not self.ends:
             return self.reading
         if not self.rate:
@@ -76,9 +76,9 @@
     context: ChoiceContext,
     ahead: int,
 ) -> WaitForecast:
-    """Return when a request finds room.
+    """Forecast when a request finds capacity.
 
-    :param ahead: requests like it that are served before it.
+    :param ahead: number of similar requests that are served before it.
     """
     rate: float = 0
     best: tuple[int, Millis] | None = None
@@ -95,22 +95,24 @@
 
 
 def forecast_after_backoff(
-    resting: Collection[Upstream],
+    backing_off: Collection[Upstream],
     needs: RequestNeeds,
     context: ChoiceContext,
     ahead: int,
 ) -> WaitForecast:
-    """Return when a request finds room where the first rest ends.
+    """Forecast when a request finds capacity where the first back-off ends.
 
-    :param resting: upstreams that rest, at least one.
-    :param ahead: requests like it that are served before it.
+    :param backing_off: upstreams that are backing off, at least one.
+    :param ahead: number of similar requests that are served before it.
     """
-    first = min(resting, key=attrgetter('backoff_until'))
+    first = min(backing_off, key=attrgetter('backoff_until'))
     backoff = first.backoff_until - context.now
     load = context.loads_by_upstream.get(first.entry.upstream, Load())
-    places = max(first.entry.slots - load.runs - 1, 0)
-    found = forecast_wait((first,), needs, context, max(ahead - places, 0))
-    return replace(found, reading=found.reading + backoff)
+    free_slots = max(first.entry.slots - load.runs - 1, 0)
+    forecast = forecast_wait(
+        (first,), needs, context, max(ahead - free_slots, 0)
+    )
+    return replace(forecast, reading=forecast.reading + backoff)
 
 
 def forecast_with_permit(
@@ -119,33 +121,33 @@
     context: ChoiceContext,
     wait: Millis,
 ) -> WaitForecast:
-    """Return when a request finds room where its upstream is rate limited.
+    """Forecast when a request finds capacity at a rate-limited upstream.
 
-    :param wait: time until this instance may send it there.
+    :param wait: time until this instance may send a request there.
     """
-    found = forecast_wait((upstream,), needs, context, 0)
-    return replace(found, reading=found.reading + wait)
+    forecast = forecast_wait((upstream,), needs, context, 0)
+    return replace(forecast, reading=forecast.reading + wait)
 
 
 def _rate_of_ends(load: Load, context: ChoiceContext) -> float:
-    """Return how many requests end at an upstream in a millisecond."""
+    """Return how many requests per millisecond end at an upstream."""
     if context.spec.engine is None:
         return load.runs / context.pace.answer_time
     if not load.runs:
         return 0
-    # Short answers hold their memory while their prompt is read.
-    to_read = context.pace.read_time(load.reading)
-    to_make = load.growth * context.pace.token_time
-    return load.runs**2 / max(to_read + to_make, 1)
+    # Short generations hold their memory while their prompts are read.
+    read_time = context.pace.read_time(load.reading)
+    generation_time = load.growth * context.pace.token_time
+    return load.runs**2 / max(read_time + generation_time, 1)
 
 
 def _count_ends(
     upstream: Upstream, load: Load, needs: RequestNeeds, context: ChoiceContext
 ) -> int:
-    """Return how many requests must end at an upstream before there is room."""
-    places = max(load.runs + 1 - upstream.entry.slots, 0)
+    """Return how many requests must end before an upstream has capacity."""
+    missing_slots = max(load.runs + 1 - upstream.entry.slots, 0)
     if context.spec.engine is None or not load.runs:
-        return places
+        return missing_slots
     missing = count_missing(load, needs, context)
     held_by_one = max(load.tokens / load.runs, 1)
-    return max(places, ceil(missing / held_by_one))
+    return max(missing_slots, ceil(missing / held_by_one))
--- a/tests/fault_soak/mutants.py
+++ b/tests/fault_soak/mutants.py
@@ -133,7 +133,7 @@
 
     def divide(self, upstream, service, allotment):
         divided = honest(self, upstream, service, allotment)
-        return replace(divided, part=Share(allotment.permits))
+        return replace(divided, share=Share(allotment.permits))
 
     limit_gate.LimitGate._divide = divide
 
