--- a/src/cartdale/fleet/decide.py
+++ b/src/cartdale/fleet/decide.py
@@ -11,7 +11,7 @@
     is_stale_report,
 )
 from cartdale.fleet.evacuation import Evacuation, end_unlisted, merge
-from cartdale.fleet.health import judge, put
+from cartdale.fleet.health import put, update_health
 from cartdale.fleet.statements import apply_announcement, expire_limits
 from cartdale.fleet.types import (
     Action,
@@ -70,7 +70,7 @@
         case TimePassed():
             return _expire(state, now)
         case _:
-            return judge(state, message, now), ()
+            return update_health(state, message, now), ()
 
 
 def _list(state: FleetState, message: EntriesListed, now: Millis) -> Decision:
--- a/src/cartdale/fleet/health.py
+++ b/src/cartdale/fleet/health.py
@@ -1,4 +1,4 @@
-"""Decide how well upstreams do their work, and what they ask for."""
+"""Update the health of upstreams and the back-offs that they request."""
 
 from dataclasses import replace
 from typing import assert_never
@@ -14,46 +14,48 @@
 
 #: Weight of one request in the share of failed requests.
 _FAILING_WEIGHT = 0.2
-#: An upstream that others can't reach is avoided for so long after they told.
+#: An upstream that peers report unreachable is avoided for this long.
 TOLD_AVOIDED_MS: Millis = SECOND_MS
-#: First and longest time that an upstream which does not answer is avoided.
+#: First and maximum time for which an unresponsive upstream is avoided.
 _AVOID_MS: Millis = 500
-_AVOID_LONGEST_MS: Millis = 4 * SECOND_MS
+_MAX_AVOID_MS: Millis = 4 * SECOND_MS
 
 
-def judge(
+def update_health(
     state: FleetState,
     message: BackoffRequested | RequestEnded | ReportedUnreachable,
     now: Millis,
 ) -> FleetState:
-    """Take what says how well an upstream does its work."""
+    """Apply a message about the health of an upstream."""
     match message:
         case BackoffRequested():
-            return _rest(state, message, now)
+            return _back_off(state, message, now)
         case RequestEnded():
-            return _count(state, message, now)
+            return _count_result(state, message, now)
         case ReportedUnreachable(upstream=name):
             return _avoid(state, name, now)
         case _:
             assert_never(message)
 
 
-def _rest(
-    state: FleetState, asked: BackoffRequested, now: Millis
+def _back_off(
+    state: FleetState, requested: BackoffRequested, now: Millis
 ) -> FleetState:
-    """Leave an upstream alone for as long as any of its answers asked.
+    """Apply the longest back-off that any response of an upstream requests.
 
-    A shorter time that it asks for later is that of another answer, and what
-    it answers to requests that were there before says nothing of new ones.
+    A shorter one that is requested later belongs to another response. Responses
+    to requests that were already running don't end a back-off.
     """
-    known = state.upstreams_by_id.get(asked.upstream)
+    known = state.upstreams_by_id.get(requested.upstream)
     if known is None:
         return state
-    until = max(known.backoff_until, now + asked.backoff)
+    until = max(known.backoff_until, now + requested.backoff)
     return put(state, replace(known, backoff_until=until))
 
 
-def _count(state: FleetState, message: RequestEnded, now: Millis) -> FleetState:
+def _count_result(
+    state: FleetState, message: RequestEnded, now: Millis
+) -> FleetState:
     known = state.upstreams_by_id.get(message.upstream)
     if known is None:
         return state
@@ -68,7 +70,7 @@
             avoided_until=0,
         )
         return put(state, counted)
-    pause = min(_AVOID_MS * 2**known.strikes, _AVOID_LONGEST_MS)
+    pause = min(_AVOID_MS * 2**known.strikes, _MAX_AVOID_MS)
     unreachable = replace(
         known,
         failing=failing,
@@ -88,7 +90,7 @@
 
 
 def put(state: FleetState, upstream: Upstream) -> FleetState:
-    """Return a state in which this is what is believed of an upstream."""
+    """Return the state with an upstream added or replaced."""
     if state.upstreams_by_id.get(upstream.entry.upstream) is upstream:
         return state
     upstreams_by_id = dict(state.upstreams_by_id)
--- a/src/cartdale/fleet/loads.py
+++ b/src/cartdale/fleet/loads.py
@@ -1,14 +1,15 @@
-"""Loads: what this instance and its peers have running at each upstream."""
+"""Track the load of this instance and its peers at each upstream."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
 
 from cartdale.clock import SECOND_MS, Millis
 
-#: A peer's load counts for so long after it was last heard.
+#: A peer's load counts for this long after it was last received.
 PEER_LOAD_KEPT_MS: Millis = 3 * SECOND_MS
-#: A generation that outruns its estimate is expected to make this much more
-#: of what it has made: for lognormal lengths the rest grows with the age.
+#: A generation that exceeds its estimate is expected to generate this share of
+#: its present length in addition: for lognormal lengths the expected remainder
+#: grows with the age.
 _OUTRUN_SHARE = 0.3
 
 
@@ -18,13 +19,13 @@
 
     :param runs: requests that run or wait there.
     :param tokens: memory that they hold now.
-    :param growth: tokens that they are still expected to make.
-    :param reading: prompt tokens of those that have not begun to answer.
-    :param exempt: how many of them need no copy when their upstream leaves:
-        they have one or a backup elsewhere, end before, or find no room.
-    :param long: how many of them generate for long, so that each prompt that
-        is read beside them holds them up.
-    :param copying: how many of them are being copied to another upstream.
+    :param growth: tokens that they are still expected to generate.
+    :param reading: prompt tokens of those without a response so far.
+    :param exempt: number of them that need no copy when their upstream leaves:
+        they have a copy or backup elsewhere, end before, or find no capacity.
+    :param long: number of long generations, which each concurrently read
+        prompt delays.
+    :param copying: number of them that are being copied to another upstream.
     """
 
     runs: int = 0
@@ -42,7 +43,7 @@
 
     @property
     def share_awaiting_copy(self) -> float:
-        """Return which part of the requests still needs one, 0 to 1."""
+        """Return the share of the requests that still need one, 0 to 1."""
         return self.awaiting_copy / max(self.runs, 1)
 
     def add(self, other: 'Load') -> 'Load':
@@ -59,12 +60,12 @@
 
 
 class Assignment:
-    """Follow one request at one upstream.
+    """Track one request at one upstream.
 
     :param prompt: tokens to read, 0 for a plain request.
-    :param expected: tokens that it is expected to make, at the median.
-    :param made: tokens made before it came here.
-    :param short: whether it ends while a leaving upstream serves on.
+    :param expected: median number of tokens that it is expected to generate.
+    :param made: tokens generated before it came here.
+    :param short: whether it ends while a leaving upstream still serves.
     """
 
     __slots__ = (
@@ -106,16 +107,18 @@
         self.made += tokens
 
     def backup_load(self) -> Load:
-        """Return what it adds to the load of its backup's upstream."""
+        """Return its contribution to the load of its backup's upstream."""
         return Load(tokens=self.prompt + self.made)
 
     def load(self) -> Load:
-        """Return what it adds to its upstream's load."""
-        left = max(self.expected - self.made, int(self.made * _OUTRUN_SHARE))
+        """Return its contribution to the load of its upstream."""
+        remaining = max(
+            self.expected - self.made, int(self.made * _OUTRUN_SHARE)
+        )
         return Load(
             runs=1,
             tokens=self.prompt + self.made,
-            growth=left if self.prompt else 0,
+            growth=remaining if self.prompt else 0,
             reading=0 if self.began else self.prompt,
             exempt=int(self.exempt or bool(self.backup)),
             long=int(self.prompt and not self.short),
@@ -125,19 +128,19 @@
 
 @dataclass(frozen=True, slots=True)
 class _PeerLoad:
-    """Hold what a peer said last."""
+    """Hold the last load that a peer published."""
 
     received_at: Millis
     loads_by_upstream: dict[str, Load]
 
 
 class LoadTable:
-    """Hold the work of this instance, and what peers said of theirs."""
+    """Hold the load of this instance and the loads published by peers."""
 
     def __init__(self) -> None:
         self._assignments: set[Assignment] = set()
         self._peers_by_name: dict[str, _PeerLoad] = {}
-        #: Counts the changes that are worth telling.
+        #: Number of changes that are worth publishing.
         self.version = 0
 
     def assign(self, assignment: Assignment) -> None:
@@ -153,14 +156,14 @@
     def receive(
         self, peer: str, loads_by_upstream: dict[str, Load], now: Millis
     ) -> None:
-        """Replace what a peer has running."""
+        """Replace the load of a peer."""
         self._peers_by_name[peer] = _PeerLoad(now, loads_by_upstream)
 
     def own(self, *, shared: bool = False) -> dict[str, Load]:
         """Return this instance's load by upstream.
 
-        :param shared: only what is worth telling: plain requests end sooner
-            than their news arrive.
+        :param shared: only what is worth publishing: plain requests end before
+            news of them arrives.
         """
         loads_by_upstream: dict[str, Load] = {}
         for assignment in self._assignments:
@@ -175,39 +178,40 @@
     def shared_totals(
         self, peers: Iterable[str], now: Millis
     ) -> dict[str, Load]:
-        """Return what this instance and some peers told, by upstream.
+        """Return the published load of this instance and some peers.
 
-        :param peers: names of those that count.
+        :param peers: names of the peers to include.
+        :returns: the load by upstream.
         """
         totals_by_upstream = self.own(shared=True)
         self._add_peers(totals_by_upstream, peers, now)
         return totals_by_upstream
 
     def totals(self, now: Millis) -> dict[str, Load]:
-        """Return everybody's load by upstream, as far as it is known."""
+        """Return the known load of all instances by upstream."""
         totals_by_upstream = self.own()
         self._add_peers(totals_by_upstream, self._peers_by_name, now)
         return totals_by_upstream
 
     def at(self, upstream: str, now: Millis) -> Load:
-        """Return everybody's load at one upstream, as far as it is known."""
+        """Return the known load of all instances at one upstream."""
         load = Load()
         for assignment in self._assignments:
             if assignment.upstream == upstream:
                 load = load.add(assignment.load())
             if assignment.backup == upstream:
                 load = load.add(assignment.backup_load())
-        for told in self._list_told(self._peers_by_name, now):
-            load = load.add(told.get(upstream, Load()))
+        for peer_loads in self._list_peer_loads(self._peers_by_name, now):
+            load = load.add(peer_loads.get(upstream, Load()))
         return load
 
     def exempt(self, assignment: Assignment) -> None:
-        """Note that others need not wait for a request's copy any more."""
+        """Record that no other request needs to wait for this one's copy."""
         assignment.exempt = True
         self._count(assignment)
 
     def mark_copying(self, assignment: Assignment, *, copying: bool) -> None:
-        """Note that a request's copy begins to use a link, or has ended."""
+        """Record that the copy of a request began to use a link, or ended."""
         assignment.copying = copying
         self._count(assignment)
 
@@ -217,15 +221,15 @@
         peers: Iterable[str],
         now: Millis,
     ) -> None:
-        """Add what some peers said last, unless it is too old."""
-        for told in self._list_told(peers, now):
-            for upstream, load in told.items():
+        """Add the last loads of some peers, unless they are too old."""
+        for peer_loads in self._list_peer_loads(peers, now):
+            for upstream, load in peer_loads.items():
                 _add(totals_by_upstream, upstream, load)
 
-    def _list_told(
+    def _list_peer_loads(
         self, peers: Iterable[str], now: Millis
     ) -> list[dict[str, Load]]:
-        """Return the loads by upstream that peers told and that still count."""
+        """Return the unexpired loads of some peers, each by upstream."""
         known = [self._peers_by_name.get(name) for name in peers]
         return [
             peer.loads_by_upstream
