--- a/src/cartdale/fleet/store_changes.py
+++ b/src/cartdale/fleet/store_changes.py
@@ -1,4 +1,4 @@
-"""What a change in the store means to an instance."""
+"""Changes in the store, as translated for an instance."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -13,7 +13,7 @@
 class TableWritten:
     """The operator wrote a configuration.
 
-    :param raw: as it is stored, to hand on to peers.
+    :param raw: the stored form, which is passed on to peers.
     """
 
     table: RoutingTable
@@ -22,9 +22,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Unreadable:
-    """A value in the store can't be used; what was in force stays.
+    """A value in the store is invalid; the previous one stays in force.
 
-    :param upstream: whose entry it would be; empty for other values.
+    :param upstream: the upstream of an invalid entry; empty for other values.
     """
 
     detail: str
@@ -35,7 +35,7 @@
 class OwnKey:
     """A key of cartdale itself was written or removed.
 
-    :param stored: empty when it was removed.
+    :param stored: its value; empty if it was removed.
     """
 
     key: str
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EvacuationWritten:
-    """The operator evacuates a failure domain, or has ended that."""
+    """The operator began or ended the evacuation of a failure domain."""
 
     evacuation: Evacuation
 
@@ -58,5 +58,5 @@
     | OwnKey
 )
 
-#: Translates what is stored; returns ``None`` for keys of no interest.
+#: Translates a stored entry; returns ``None`` for irrelevant keys.
 Translate = Callable[[Entry | Removed], StoredChange | None]
