--- a/src/cartdale/fleet/evacuation.py
+++ b/src/cartdale/fleet/evacuation.py
@@ -1,9 +1,9 @@
-"""Know which failure domains are evacuated.
+"""Track which failure domains are evacuated.
 
-The operator asks that nothing new goes to the upstreams of a failure domain.
-What is known of a domain carries the store's revision at which it was last
-changed, so that instances may hear of it in any order and over any way: the
-later change holds, and an older view never undoes it.
+An operator evacuates a failure domain so that its upstreams get no new work.
+The status of a domain carries the store revision of its last change, so that
+instances may receive changes in any order and over any path: the later change
+applies, and an older one never reverts it.
 """
 
 from collections.abc import Iterable, Mapping
@@ -11,18 +11,18 @@
 
 from cartdale.clock import SECOND_MS, Millis
 
-#: A generation that has stopped may still go on at an evacuated engine for so
-#: long after this instance heard of the evacuation: what is under way is not
-#: cut, and the bound of several seconds is kept by far.
+#: A stopped generation may still resume at an evacuated engine for this long
+#: after this instance received the evacuation: moves in progress are not cut,
+#: and the bound of several seconds is met with a wide margin.
 FINISHES_MOVES: Millis = SECOND_MS
 
 
 @dataclass(frozen=True, slots=True)
 class Evacuation:
-    """Say whether a failure domain is evacuated.
+    """Describe whether a failure domain is evacuated.
 
-    :param revision: of the store when this was changed last.
-    :param active: whether nothing new may go there.
+    :param revision: of the store at the last change.
+    :param active: whether no new work may go there.
     """
 
     failure_domain: str
@@ -32,9 +32,9 @@
 
 @dataclass(frozen=True, slots=True)
 class EvacuationStatus:
-    """Hold what is known of a failure domain's evacuation.
+    """Hold the known evacuation of a failure domain.
 
-    :param changed_at: when this instance learnt whether it is active.
+    :param changed_at: when this instance received the present ``active``.
     """
 
     evacuation: Evacuation
@@ -42,7 +42,7 @@
 
     @property
     def active(self) -> bool:
-        """Tell whether nothing new may go there."""
+        """Tell whether no new work may go there."""
         return self.evacuation.active
 
 
@@ -50,11 +50,11 @@
 
 
 def merge(
-    statuses: EvacuationStatuses, told: Iterable[Evacuation], now: Millis
+    statuses: EvacuationStatuses, reported: Iterable[Evacuation], now: Millis
 ) -> dict[str, EvacuationStatus]:
-    """Return what is known after something was told, the later of each."""
+    """Return the statuses updated by the later of each domain's changes."""
     merged = dict(statuses)
-    for evacuation in told:
+    for evacuation in reported:
         known = merged.get(evacuation.failure_domain)
         if known and known.evacuation.revision >= evacuation.revision:
             continue
@@ -69,10 +69,9 @@
 def end_unlisted(
     statuses: EvacuationStatuses, listed: Iterable[Evacuation], revision: int
 ) -> tuple[Evacuation, ...]:
-    """Return that evacuations ended which a listing of the store lacks.
+    """Return the ends of active evacuations that a store listing lacks.
 
-    :param revision: of the store when it listed; what was written after that
-        is not contradicted.
+    :param revision: of the store at the listing; later changes still apply.
     """
     present = {evacuation.failure_domain for evacuation in listed}
     return tuple(
@@ -83,7 +82,7 @@
 
 
 def is_evacuated(statuses: EvacuationStatuses, failure_domain: str) -> bool:
-    """Tell whether nothing new may go to a failure domain."""
+    """Tell whether no new work may go to a failure domain."""
     known = statuses.get(failure_domain)
     return known is not None and known.active
 
@@ -91,7 +90,7 @@
 def may_finish_move(
     statuses: EvacuationStatuses, failure_domain: str, now: Millis
 ) -> bool:
-    """Tell whether a stopped generation may still go on in a domain."""
+    """Tell whether a stopped generation may still resume in a domain."""
     known = statuses.get(failure_domain)
     if known is None or not known.active:
         return True
@@ -101,7 +100,7 @@
 def reopened_within(
     statuses: EvacuationStatuses, failure_domain: str, span: Millis, now: Millis
 ) -> bool:
-    """Tell whether a failure domain's evacuation ended of late."""
+    """Tell whether a failure domain's evacuation ended recently."""
     known = statuses.get(failure_domain)
     if known is None or known.active:
         return False
