--- a/src/cartdale/fleet/demand.py
+++ b/src/cartdale/fleet/demand.py
@@ -1,4 +1,4 @@
-"""Measure what callers ask of each service at one instance."""
+"""Measure the demand for each service at one instance."""
 
 from collections import deque
 from collections.abc import Iterable
@@ -6,9 +6,9 @@
 
 from cartdale.clock import MINUTE_MS, SECOND_MS, Millis
 
-#: Over which requests are counted: a few spans of a permit. Over 4 s so many of
-#: 62 instances with a request in two seconds each look idle for a moment that
-#: half of a limit of 6 a second stays unused (tests/load/limited.py).
+#: Requests are counted over this window, a few spans of a permit. With 4 s, so
+#: many of 62 instances with one request per two seconds each appear idle at
+#: times that half of a limit of 6 per second is unused (tests/load/limited.py).
 _WINDOW: Millis = MINUTE_MS // 4
 
 
@@ -25,10 +25,10 @@
         _forget(arrivals, now)
 
     def measure(self, services: Iterable[str], now: Millis) -> dict[str, float]:
-        """Return the requests a second of some services.
+        """Return the request rates of some services, per second.
 
-        Rounded up to powers of two: what is divided by it should not move
-        with each request.
+        Rounded up to powers of two, so that the division of permits does not
+        change with each request.
         """
         rates_by_service: dict[str, float] = {}
         for service in services:
--- a/src/cartdale/fleet/departures.py
+++ b/src/cartdale/fleet/departures.py
@@ -34,7 +34,7 @@
     never withdraws it: an entry that contradicts it is older or belongs to the
     next incarnation.
     """
-    if is_of_another_life(announcement.born, known):
+    if is_other_incarnation(announcement.born, known):
         return known
     leaving_observed_locally = (
         known.leaving_observed_locally or not announcement.from_peer
@@ -97,7 +97,7 @@
     It may concern a previous incarnation, or an entry that was missing and has
     come back.
     """
-    if is_of_another_life(message.born, known):
+    if is_other_incarnation(message.born, known):
         return True
     return known.returned and now - known.changed_at < PEER_REPORT_IGNORED_MS
 
@@ -122,7 +122,7 @@
     return max(known.warm_at, reported) if from_peer else reported
 
 
-def is_of_another_life(born: Millis, known: Upstream) -> bool:
+def is_other_incarnation(born: Millis, known: Upstream) -> bool:
     """Tell whether a report concerns another incarnation of an upstream.
 
     :param born: start of the reported incarnation; 0 if unknown.
--- a/src/cartdale/fleet/permits.py
+++ b/src/cartdale/fleet/permits.py
@@ -15,9 +15,9 @@
 from cartdale.fleet.division import Share
 from cartdale.fleet.reservations import Reservations
 
-#: Upstreams count requests over this window. No permit is used twice within it,
-#: so that a burst after a pause has at most as many requests as there are
-#: permits.
+#: Upstreams count requests over this window. No permit permits two requests
+#: within it, so that a burst after a pause has at most as many requests as
+#: there are permits.
 _COUNTED_OVER: Millis = 4 * SECOND_MS
 #: Maximum number of permits, which bounds the cost of dividing them; above it,
 #: a higher limit shortens their span.
--- a/src/cartdale/fleet/statements.py
+++ b/src/cartdale/fleet/statements.py
@@ -8,7 +8,7 @@
 from cartdale.fleet.departures import (
     apply_leaving,
     departure_actions,
-    is_of_another_life,
+    is_other_incarnation,
 )
 from cartdale.fleet.health import put
 from cartdale.fleet.rate_limits import (
@@ -51,7 +51,7 @@
 def _apply_limit(
     state: FleetState, known: Upstream, named: LimitAdvertised
 ) -> Decision:
-    if is_of_another_life(named.born, known):
+    if is_other_incarnation(named.born, known):
         return state, ()
     before = known.rate_limit
     limit = merge_limits(before, named.limit)
