--- a/src/cartdale/relay/__init__.py
+++ b/src/cartdale/relay/__init__.py
@@ -1,1 +1,1 @@
-"""Relay: carry one request to an upstream and its answer back."""
+"""Relay: forward a request to an upstream and return its response."""
--- a/src/cartdale/relay/admission.py
+++ b/src/cartdale/relay/admission.py
@@ -1,7 +1,7 @@
-"""Admission: who goes next when the upstreams of a service are full.
+"""Admission queue of the requests that wait for upstream capacity.
 
-A request waits only while the forecast says that it will be served in its
-time; else it is refused at once and told when to come back.
+A request waits only while the forecast says that it will be served in time.
+Otherwise it is refused at once with a retry delay.
 """
 
 import random
@@ -21,38 +21,38 @@
 from cartdale.problems.types import NotRunReason
 from cartdale.switches import Mechanism
 
-#: Between looks for room that no message announced.
-_LOOK_EVERY: Millis = 40
+#: Between checks for capacity that no message announced.
+_CHECK_INTERVAL: Millis = 40
 #: A request waits if it is more likely to be served than not.
-_LEAST_CHANCE = 0.5
-#: One that waits already is refused once so little chance is left: every look
-#: sees other loads, and a refusal after a wait is dearer than one at once.
-_LEAST_CHANCE_LEFT = 0.2
-#: Without any upstream nothing can be forecast: lists of upstreams change
-#: within so long, when all of them were replaced at once.
-_UNKNOWN_WAIT: Millis = SECOND_MS // 4
-#: When to come back where nothing can be forecast.
+_MIN_CHANCE = 0.5
+#: Lower bound for a request that already waits: loads differ at each check, and
+#: a refusal after a wait costs the caller more than an immediate one.
+_MIN_CHANCE_WAITING = 0.2
+#: Without any upstream there is no forecast. When all upstreams are replaced at
+#: once, the new list arrives within this time.
+_MAX_UNKNOWN_WAIT: Millis = SECOND_MS // 4
+#: Retry delay when there is no forecast.
 _UNKNOWN_RETRY: Millis = SECOND_MS
-#: Shortest and longest time after which a refused caller is told to return.
-_RETRY_SHORTEST: Millis = 100
-_RETRY_LONGEST: Millis = 10 * SECOND_MS
-#: Callers who are refused together return spread over this part of the time,
-#: or they would be refused together again.
-_RETRY_SPREAD = 0.5
-#: The most of this after a rest: nobody could serve them before its end, and a
-#: long rest is no reason to stay away much longer.
-_REST_SPREAD: Millis = 3 * SECOND_MS
-#: What only the operator can end, so that nobody waits for it.
-_NOT_WAITED_FOR = frozenset(
+#: Bounds of the retry delay of a refused caller.
+_MIN_RETRY_AFTER: Millis = 100
+_MAX_RETRY_AFTER: Millis = 10 * SECOND_MS
+#: Retry delays are spread over this share of the delay: callers refused
+#: together would otherwise return and be refused together again.
+_RETRY_SPREAD_SHARE = 0.5
+#: Upper bound of the spread after a back-off: no upstream can serve the callers
+#: before it ends, and a long back-off needs no proportionally long spread.
+_MAX_BACKOFF_SPREAD: Millis = 3 * SECOND_MS
+#: Reasons that only the operator can remove: requests don't wait for that.
+_OPERATOR_REASONS = frozenset(
     (UnavailableReason.EVACUATED, UnavailableReason.REGION)
 )
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class Ticket:
-    """Rank a waiting request: the urgent first, then the oldest.
+    """Rank of a waiting request: by priority, then by arrival time.
 
-    :param number: tells apart what arrived in the same millisecond.
+    :param number: orders requests that arrived in the same millisecond.
     """
 
     priority: int
@@ -62,10 +62,10 @@
 
 @dataclass(frozen=True, slots=True)
 class NoCapacity:
-    """A request finds no room in its time.
+    """No upstream has capacity for a request in time.
 
-    :param retry_after: when there may be some.
-    :param reason: what the caller is told.
+    :param retry_after: when there may be capacity.
+    :param reason: reported to the caller.
     """
 
     retry_after: Millis
@@ -76,8 +76,8 @@
 class Waiting:
     """Describe a request that may have to wait.
 
-    :param until: when it must be on its way to be answered within its target
-        latency, in monotonic milliseconds.
+    :param until: latest time at which it can be sent to be answered within its
+        target latency, in monotonic milliseconds.
     """
 
     request_id: str
@@ -88,24 +88,24 @@
 
 
 class Admission:
-    """Let requests choose an upstream in the order of their rank.
+    """Assign upstreams to requests in the order of their rank.
 
-    :param fleet: where room is looked for.
-    :param seed: makes the spread of returning callers repeatable.
+    :param fleet: provides the upstreams.
+    :param seed: makes the spread of retry delays reproducible.
     """
 
     def __init__(self, fleet: Fleet, clock: Clock, seed: int) -> None:
         self._fleet = fleet
         self._clock = clock
         self._generator = random.Random(seed)
-        #: The tickets of the requests that wait, the next one first.
+        #: Tickets of the waiting requests, the next one first.
         self._queues_by_service: dict[str, list[Ticket]] = {}
         self._arrivals = 0
-        #: When the last one comes back that was told so, for rate limits.
+        #: Latest return time given to a caller, for upstreams with rate limits.
         self._returns_by_service: dict[str, Millis] = {}
 
     async def place(self, waiting: Waiting) -> Upstream | NoCapacity:
-        """Wait for room as long as it is likely to come in time."""
+        """Wait for capacity as long as it is likely to come in time."""
         service = waiting.needs.service
         self._fleet.limits.note_arrival(service)
         queue = self._queues_by_service.setdefault(service, [])
@@ -119,41 +119,42 @@
             if queue:
                 self._fleet.notify()
 
-    def delay_return(self, needs: RequestNeeds, least: Millis) -> Millis:
-        """Return when a caller whom upstreams turned away should come back.
+    def delay_return(self, needs: RequestNeeds, minimum: Millis) -> Millis:
+        """Return the retry delay of a request that upstreams refused.
 
-        :param least: when it should where none of them asked for rest.
+        :param minimum: lower bound, also if no upstream requested a back-off.
         """
         return max(
-            least, self._outlast(self._fleet.forecast_wait(needs, 0).backoff)
+            minimum,
+            self._exceed_backoff(self._fleet.forecast_wait(needs, 0).backoff),
         )
 
-    def _outlast(self, backoff: Millis) -> Millis:
-        """Return a time after a rest, not the same for all callers."""
-        spread = min(backoff * _RETRY_SPREAD, _REST_SPREAD)
+    def _exceed_backoff(self, backoff: Millis) -> Millis:
+        """Return a randomised delay that exceeds a back-off."""
+        spread = min(backoff * _RETRY_SPREAD_SHARE, _MAX_BACKOFF_SPREAD)
         return backoff + int(spread * self._generator.random())
 
-    def _schedule_return(self, needs: RequestNeeds, least: Millis) -> Millis:
-        """Return when a caller may come back to upstreams with rate limits.
+    def _schedule_return(self, needs: RequestNeeds, minimum: Millis) -> Millis:
+        """Return the retry delay for upstreams with rate limits.
 
-        One after another, as the limits bear them: all that return at the same
-        moment would be refused again.
+        Callers return one after another at the rate that the limits allow:
+        callers that return at the same time would be refused again.
         """
         rate = self._fleet.limits.gate.find_return_rate(needs.service)
         now = self._clock.now()
         after_last = self._returns_by_service.get(needs.service, 0)
         after_last += ceil(1 / rate) if rate else 0
-        returns_at = max(now + least, after_last)
-        if returns_at > now + _RETRY_LONGEST:
-            share = 1 - _RETRY_SPREAD * self._generator.random()
-            return max(least, int(_RETRY_LONGEST * share))
+        returns_at = max(now + minimum, after_last)
+        if returns_at > now + _MAX_RETRY_AFTER:
+            share = 1 - _RETRY_SPREAD_SHARE * self._generator.random()
+            return max(minimum, int(_MAX_RETRY_AFTER * share))
         self._returns_by_service[needs.service] = returns_at
         return returns_at - now
 
     async def _wait(
         self, queue: list[Ticket], ticket: Ticket, waiting: Waiting
     ) -> Upstream | NoCapacity:
-        least_chance = _LEAST_CHANCE
+        min_chance = _MIN_CHANCE
         began = self._clock.now()
         while True:
             ahead = queue.index(ticket)
@@ -166,7 +167,7 @@
             unavailable_reason = self._fleet.find_unavailable_reason(
                 waiting.needs
             )
-            if unavailable_reason in _NOT_WAITED_FOR:
+            if unavailable_reason in _OPERATOR_REASONS:
                 return self._refuse(waiting, forecast, 0, unavailable_reason)
             until = waiting.until
             if forecast.expected_wait() is None:
@@ -178,12 +179,14 @@
                 chance = forecast.chance(until - now)
             if not self._fleet.switches.is_enabled(Mechanism.FORECAST):
                 chance = 1
-            if now >= until or chance < least_chance:
+            if now >= until or chance < min_chance:
                 return self._refuse(
                     waiting, forecast, chance, unavailable_reason
                 )
-            least_chance = _LEAST_CHANCE_LEFT
-            with trio.move_on_after(as_seconds(min(until - now, _LOOK_EVERY))):
+            min_chance = _MIN_CHANCE_WAITING
+            with trio.move_on_after(
+                as_seconds(min(until - now, _CHECK_INTERVAL))
+            ):
                 await self._fleet.changed()
 
     def _refuse(
@@ -195,9 +198,9 @@
     ) -> NoCapacity:
         expected = forecast.expected_wait()
         wait = _UNKNOWN_RETRY if expected is None else expected
-        wait += int(wait * _RETRY_SPREAD * self._generator.random())
-        bounded = min(max(wait, _RETRY_SHORTEST), _RETRY_LONGEST)
-        retry_after = max(bounded, self._outlast(forecast.backoff))
+        wait += int(wait * _RETRY_SPREAD_SHARE * self._generator.random())
+        bounded = min(max(wait, _MIN_RETRY_AFTER), _MAX_RETRY_AFTER)
+        retry_after = max(bounded, self._exceed_backoff(forecast.backoff))
         if unavailable_reason is UnavailableReason.LIMITED:
             retry_after = self._schedule_return(waiting.needs, retry_after)
         logger.info(
@@ -216,10 +219,13 @@
 
 
 def _find_unknown_wait(unavailable_reason: UnavailableReason) -> Millis:
-    """Return how long a request waits for what can't be foreseen.
+    """Return how long a request waits without a forecast.
 
-    Who has no part of the limits gets none soon.
+    Not at all if the rate limits left this instance no share: it gets none
+    soon.
     """
     return (
-        0 if unavailable_reason is UnavailableReason.LIMITED else _UNKNOWN_WAIT
+        0
+        if unavailable_reason is UnavailableReason.LIMITED
+        else _MAX_UNKNOWN_WAIT
     )
--- a/src/cartdale/relay/attempts.py
+++ b/src/cartdale/relay/attempts.py
@@ -1,6 +1,6 @@
-"""Attempts of a request at upstreams: their start, and what their end means.
+"""Start attempts at upstreams and evaluate how they ended.
 
-Plain requests and streamed generations are placed, sent and counted alike.
+Plain requests and streamed generations share this code.
 """
 
 from collections.abc import Iterable
@@ -45,13 +45,14 @@
 async def place(
     ports: RelayPorts, routed: RoutedRequest, tried: Iterable[str]
 ) -> Upstream | NoCapacity:
-    """Wait for an upstream with room, while it is likely to come in time.
+    """Wait for an upstream with capacity while one is likely to come in time.
 
-    All sends but those of a generation that moves begin here, so that none
-    of a quarantined request passes: it would end one more upstream, and what
-    others run there. One that waits stops waiting.
+    All sends except those of a moving generation start here, so that a
+    quarantined request is never sent: it would crash another upstream, with
+    the requests of other callers there. A request that is quarantined while it
+    waits stops waiting.
 
-    :param tried: upstreams that are not chosen again.
+    :param tried: upstreams to exclude.
     """
     refusal = await find_refusal(ports, routed)
     if refusal is None:
@@ -68,9 +69,9 @@
 async def find_refusal(
     ports: RelayPorts, routed: RoutedRequest
 ) -> NotRun | None:
-    """Return why a request is sent to no upstream, if it is not.
+    """Return why a request must not be sent, or ``None`` if it may.
 
-    Waits for what is still to be found out about one that is suspected.
+    Waits for pending crash probes if the request is a suspect.
     """
     await ports.crash_prober.settle(routed.identity)
     return ports.fleet.quarantine.find_refusal(
@@ -79,7 +80,7 @@
 
 
 def withdraw(routed: RoutedRequest, upstream: str) -> Withdrawn:
-    """Log that a request was taken back from an engine."""
+    """Log that a request was withdrawn from an engine."""
     logger.info(
         'taken back',
         request=routed.request.request_id,
@@ -90,7 +91,7 @@
 
 
 def time_left(ports: RelayPorts, routed: RoutedRequest) -> Millis:
-    """Return the time that remains for a request, 0 when it has passed."""
+    """Return the time that remains for a request, at least 0."""
     return max(routed.ends_at - ports.clock.now(), 0)
 
 
@@ -101,10 +102,11 @@
     backup: str = '',
     last_event: bytes = b'',
 ) -> UpstreamCall:
-    """Make the call of an attempt, with the time that is left.
+    """Make the call of an attempt with the remaining time.
 
-    :param backup: address of the engine to keep up to date; empty for none.
-    :param last_event: where the upstream goes on; empty for the start.
+    :param backup: address of the backup engine; empty for none.
+    :param last_event: id of the event after which the upstream resumes; empty
+        for the start.
     """
     now = ports.clock.now()
     left = routed.ends_at - now
@@ -132,15 +134,15 @@
     ended: AttemptEnd,
     upstream: str,
 ) -> tuple[AttemptState, Step]:
-    """Count the end of an attempt, decide what follows and log it."""
+    """Record the end of an attempt, decide the next step and log it."""
     streams = routed.route.kind is RouteKind.STREAM
-    _tell_fleet(ports.fleet, ended, upstream, streams=streams)
+    _report_end(ports.fleet, ended, upstream, streams=streams)
     after, step = decide(state, ended, affordable=True)
     if isinstance(step, TryAgain) and not isinstance(ended, Withheld):
-        paid = ports.fleet.switches.is_enabled(
+        in_budget = ports.fleet.switches.is_enabled(
             Mechanism.RETRIES
         ) and ports.budget.withdraw(routed.service, ports.clock.now())
-        after, step = decide(state, ended, affordable=paid)
+        after, step = decide(state, ended, affordable=in_budget)
     if isinstance(step, GiveUp):
         check_refusal(after, step.problem)
         step = _delay_return(ports, routed, step)
@@ -155,9 +157,9 @@
 
 
 def may_choose_again(ended: AttemptEnd) -> bool:
-    """Tell whether the same upstream may get a request again.
+    """Tell whether the same upstream may get the request again.
 
-    Not while it rests, but a request may well outlast that.
+    Not during its back-off, but the request's time may exceed that.
     """
     match ended:
         case Withheld():
@@ -171,11 +173,11 @@
 def _delay_return(
     ports: RelayPorts, routed: RoutedRequest, step: GiveUp
 ) -> GiveUp:
-    """Have a caller come back no sooner than anybody can serve it."""
+    """Extend a retry delay to when an upstream can serve the request."""
     match step.problem:
-        case NotRun(reason=reason, retry_after=least):
+        case NotRun(reason=reason, retry_after=minimum):
             wait = ports.admission.delay_return(
-                make_request_needs(routed), least
+                make_request_needs(routed), minimum
             )
             return GiveUp(NotRun(reason, wait))
     return step
@@ -184,9 +186,9 @@
 def find_decline(
     fleet: Fleet, answer: OpenedResponse, upstream: str
 ) -> Declined | None:
-    """Return that an upstream did not run a request, if it says so.
+    """Return ``Declined`` if the response says that the request did not run.
 
-    Another upstream at its address is told to the fleet.
+    If another upstream has taken over the address, reports that to the fleet.
     """
     match answer.execution:
         case ExecutionStatus.RAN:
@@ -201,8 +203,8 @@
 ) -> Waiting:
     """Return until when a request may wait to be answered in time.
 
-    The answer must also end before the time limit, and a stream must begin
-    before its caller gives it up.
+    The response must also end before the time limit, and a stream must begin
+    before the caller's timeout.
     """
     route = routed.route
     begins, ends = pace.answer_time, pace.answer_time
@@ -222,19 +224,20 @@
     )
 
 
-def _tell_fleet(
+def _report_end(
     fleet: Fleet, ended: AttemptEnd, upstream: str, *, streams: bool
 ) -> None:
-    """Count an end for the choice of upstreams.
+    """Report the end of an attempt to the fleet, for the choice of upstreams.
 
-    A stream that broke before its head is lost, and the engine with it in all
-    likelihood; it looks idle, and would take each next one.
+    A stream that broke before the response head counts as not reached: its
+    engine has probably crashed, looks idle, and would be chosen for each
+    following request.
 
-    :param streams: whether the request was to be streamed.
+    :param streams: whether the route streams its responses.
     """
     match ended:
         case Withdrawn() | Withheld():
-            """It says nothing of the upstream."""
+            """These ends carry no information on the upstream."""
         case Unsent():
             fleet.dispatch(RequestEnded(upstream, good=False, reached=False))
         case Broken(begun=False) if streams:
--- a/src/cartdale/relay/copy_release.py
+++ b/src/cartdale/relay/copy_release.py
@@ -1,40 +1,40 @@
-"""Free copies of generations that nobody goes on from."""
+"""Free copies of generations that are not resumed from."""
 
 import trio
 from loguru import logger
 
 from cartdale.relay.types import UpstreamPort
 
-#: Copies that wait to be freed; an engine frees them after its own time too.
-_MOST_WAITING = 256
+#: Copies that wait to be freed; engines also free copies after a timeout.
+_MAX_PENDING = 256
 
 
 class CopyReleaser:
-    """Free unused copies, one after another, beside the requests.
+    """Free unused copies sequentially, in the background.
 
-    A generation may end while its copy is made or waits for the stop; the
-    engine that got it would keep the memory for seconds.
+    A generation may end while its copy is made or waits for the stop. The
+    target engine would then keep the memory for seconds.
     """
 
     def __init__(self, upstreams: UpstreamPort) -> None:
         self._upstreams = upstreams
-        ends = trio.open_memory_channel[tuple[str, str]](_MOST_WAITING)
-        self._put = ends[0]
-        self._take = ends[1]
+        channel = trio.open_memory_channel[tuple[str, str]](_MAX_PENDING)
+        self._sender = channel[0]
+        self._receiver = channel[1]
 
     def add(self, address: str, handle: str) -> None:
-        """Have a copy freed soon.
+        """Queue a copy to be freed.
 
         :param address: engine that holds it.
-        :param handle: the copy's name.
+        :param handle: handle of the copy.
         """
         try:
-            self._put.send_nowait((address, handle))
+            self._sender.send_nowait((address, handle))
         except trio.WouldBlock:
             logger.warning('copy not freed', address=address, handle=handle)
 
     async def run(self) -> None:
-        """Free what was added, for ever."""
-        async for address, handle in self._take:
+        """Free queued copies until cancelled."""
+        async for address, handle in self._receiver:
             logger.info('copy freed', address=address, handle=handle)
             await self._upstreams.release_copy(address, handle)
--- a/src/cartdale/relay/copying.py
+++ b/src/cartdale/relay/copying.py
@@ -1,7 +1,7 @@
-"""Ask for copies of one generation's memory, and time them.
+"""Request copies of one generation's memory, and time them.
 
-How long a renewed copy takes tells whether others use the link of the engine
-that it comes from.
+The duration of a renewed copy tells whether other copies use the link of the
+source engine.
 """
 
 from returns.result import Failure, Success
@@ -21,13 +21,14 @@
     UpstreamPort,
 )
 
-#: A renewed copy that took no longer shows that the link is free: what was
-#: made since the copy before takes 10 to 20 ms, another's copy 190 and more.
-_QUICK_COPY: Millis = 80
+#: A renewed copy that takes no longer shows that the link is free: the tokens
+#: made since the last copy take 10 to 20 ms, a copy of another generation takes
+#: 190 ms or more.
+_MAX_QUICK_COPY: Millis = 80
 
 
 class Copier:
-    """Copy one generation's memory, and remember how the newest copy went.
+    """Copy one generation's memory, and keep the result of the latest copy.
 
     :param request_id: the caller's id of the request.
     """
@@ -38,9 +39,9 @@
         self._upstreams = upstreams
         self._clock = clock
         self._request_id = request_id
-        #: Whether the newest copy renewed another.
+        #: Whether the latest copy renewed an earlier one.
         self.renewed = False
-        #: Whether it did so quickly, so that nobody else used the link.
+        #: Whether it was fast enough to show that no other copy used the link.
         self.link_free = False
 
     async def copy(
@@ -51,11 +52,11 @@
         last: bool,
         timeout: Millis,
     ) -> CopyEnded | CopyRejected | None:
-        """Copy to a target, and return what to tell of it.
+        """Copy to a target, and return the message for the move state machine.
 
-        :param state: where the generation stands when the copy begins.
+        :param state: state of the move when the copy begins.
         :param last: whether the copy stops the generation.
-        :param timeout: longest wait for the engine's answer.
+        :param timeout: maximum wait for the engine's response.
         """
         copy = MemoryCopy(
             self._request_id,
@@ -64,14 +65,14 @@
             last,
             timeout,
         )
-        asked_at = self._clock.now()
+        requested_at = self._clock.now()
         self.renewed = state.phase is MovePhase.REFRESHING
         self.link_free = False
         match await self._upstreams.copy(copy):
             case Success(Copied(handle=handle)):
-                took = self._clock.now() - asked_at
-                self.link_free = self.renewed and took <= _QUICK_COPY
+                took = self._clock.now() - requested_at
+                self.link_free = self.renewed and took <= _MAX_QUICK_COPY
                 return CopyEnded(handle)
-            case Failure(CopyFailed(fault=fault, handle=kept)):
-                return CopyRejected(fault, kept)
+            case Failure(CopyFailed(fault=fault, handle=kept_handle)):
+                return CopyRejected(fault, kept_handle)
         return None
--- a/src/cartdale/relay/crash_probes.py
+++ b/src/cartdale/relay/crash_probes.py
@@ -1,8 +1,8 @@
-"""Find out whether an upstream ended when the link to it broke.
+"""Probe whether an upstream crashed when the link to it broke.
 
-A link breaks for many reasons: the network, a worker that drops one answer, a
-worker that crashes. Only the last ends the worker, and it shows at once: its
-machine refuses connections, or another life of it answers.
+A link breaks for many reasons: a network fault, a worker that drops one
+response, a worker that crashes. Only the last ends the worker, which can be
+seen at once: its machine refuses connections, or another incarnation answers.
 """
 
 from dataclasses import dataclass
@@ -18,19 +18,19 @@
 from cartdale.relay.types import UpstreamPort
 from cartdale.switches import Mechanism
 
-#: Links that wait for their upstream's inquest; one of an engine with 64
-#: slots breaks at most as many.
-_MOST_WAITING = 1024
+#: Probes that wait to be started. An engine with 64 slots breaks at most 64
+#: links, which share one probe.
+_MAX_PENDING = 1024
 
 
 @dataclass(frozen=True, slots=True)
 class BrokenLink:
-    """Describe a link that broke with a request on it.
+    """Describe a link that broke while it carried a request.
 
-    :param identity: of the request.
-    :param sent_at: when the request was sent over it.
-    :param events: that came over this link; 0 for a plain request.
-    :param begun: whether the head of an answer came.
+    :param identity: identity of the request.
+    :param sent_at: when the request was sent over the link.
+    :param events: events received over this link; 0 for a plain request.
+    :param begun: whether the response head was received.
     """
 
     request_id: str
@@ -42,8 +42,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Inquest:
-    """Hold the links that an inquest is held for."""
+class _Probe:
+    """Hold the links that one crash probe covers."""
 
     upstream: UpstreamEntry
     links: list[BrokenLink]
@@ -51,54 +51,54 @@
 
 
 class CrashProber:
-    """Ask upstreams whose links broke how they are, once for all links."""
+    """Probe upstreams whose links broke, once for all links of an upstream."""
 
     def __init__(self, upstreams: UpstreamPort, fleet: Fleet) -> None:
         self._upstreams = upstreams
         self._fleet = fleet
-        self._inquests_by_upstream: dict[str, _Inquest] = {}
-        ends = trio.open_memory_channel[_Inquest](_MOST_WAITING)
-        self._put = ends[0]
-        self._take = ends[1]
+        self._probes_by_upstream: dict[str, _Probe] = {}
+        channel = trio.open_memory_channel[_Probe](_MAX_PENDING)
+        self._sender = channel[0]
+        self._receiver = channel[1]
 
     def probe(self, link: BrokenLink) -> None:
-        """Find out soon whether the upstream of a link ended."""
+        """Queue a crash probe of the upstream of a link."""
         name = link.upstream.upstream
-        held = self._inquests_by_upstream.get(name)
-        if held is not None:
-            held.links.append(link)
+        pending = self._probes_by_upstream.get(name)
+        if pending is not None:
+            pending.links.append(link)
             return
-        held = _Inquest(link.upstream, [link], trio.Event())
+        pending = _Probe(link.upstream, [link], trio.Event())
         try:
-            self._put.send_nowait(held)
+            self._sender.send_nowait(pending)
         except trio.WouldBlock:
-            logger.warning('inquest not held', upstream=name)
+            logger.warning('crash probe not queued', upstream=name)
             return
-        self._inquests_by_upstream[name] = held
+        self._probes_by_upstream[name] = pending
 
     async def settle(self, identity: Identity) -> None:
-        """Wait for what is still to be found out about a suspected request.
+        """Wait for the pending probes that concern a suspect request.
 
-        An attempt that follows at once would otherwise go ahead of it.
+        Otherwise the next attempt could be sent before their result is known.
         """
         if not self._fleet.quarantine.is_suspect(identity):
             return
-        for held in tuple(self._inquests_by_upstream.values()):
-            if any(link.identity == identity for link in held.links):
-                await held.ended.wait()
+        for pending in tuple(self._probes_by_upstream.values()):
+            if any(link.identity == identity for link in pending.links):
+                await pending.ended.wait()
 
     async def run(self) -> None:
-        """Hold inquests, for ever."""
+        """Run queued probes until cancelled."""
         async with trio.open_nursery() as nursery:
-            async for held in self._take:
-                nursery.start_soon(self._inquire, held)
+            async for pending in self._receiver:
+                nursery.start_soon(self._run_probe, pending)
 
-    async def _inquire(self, held: _Inquest) -> None:
-        upstream = held.upstream
+    async def _run_probe(self, pending: _Probe) -> None:
+        upstream = pending.upstream
         spec = self._fleet.table.services_by_name.get(upstream.service)
         gone = await self._upstreams.is_gone(upstream, spec)
-        self._inquests_by_upstream.pop(upstream.upstream)
-        for link in held.links:
+        self._probes_by_upstream.pop(upstream.upstream)
+        for link in pending.links:
             logger.info(
                 'link broke',
                 request=link.request_id,
@@ -110,12 +110,12 @@
             )
             if gone:
                 self._suspect(link)
-        held.ended.set()
+        pending.ended.set()
 
     def _suspect(self, link: BrokenLink) -> None:
-        """Hold an upstream's end against a request whose link broke."""
-        on = self._fleet.switches.is_enabled(Mechanism.QUARANTINE)
-        if not (on and link.identity):
+        """Record an upstream's crash for a request whose link broke."""
+        enabled = self._fleet.switches.is_enabled(Mechanism.QUARANTINE)
+        if not (enabled and link.identity):
             return
         upstream = link.upstream
         crash = Crash(link.identity, upstream.upstream, upstream.born)
--- a/src/cartdale/relay/decide.py
+++ b/src/cartdale/relay/decide.py
@@ -1,4 +1,4 @@
-"""Decide what follows when an attempt at an upstream has ended."""
+"""Decide the next step after an attempt at an upstream has ended."""
 
 from dataclasses import dataclass, replace
 from typing import assert_never
@@ -13,10 +13,10 @@
 )
 from cartdale.routes.types import Route
 
-#: Sends of one request, with those that certainly did not run.
-MOST_SENDS = 4
-#: When a caller whom upstreams turned away should come back: about the time in
-#: which a short request of a crowded engine ends.
+#: Sends of one request, including those that certainly did not run.
+MAX_SENDS = 4
+#: Retry delay after upstreams refused a request: about the time in which a
+#: short request on a crowded engine ends.
 RETRY_AFTER: Millis = SECOND_MS
 
 
@@ -24,10 +24,10 @@
 class AttemptState:
     """Count the attempts of one request.
 
-    :param repeatable: whether a request that may have run may run again.
-    :param may_run: upstreams that it may run on.
-    :param sends: times that it was sent or tried to be sent.
-    :param runs: upstreams that may have run it.
+    :param repeatable: whether the request may run again after it may have run.
+    :param may_run: maximum number of upstreams that may run it.
+    :param sends: number of sends, including failed ones.
+    :param runs: number of upstreams that may have run it.
     """
 
     repeatable: bool
@@ -37,7 +37,7 @@
 
     @property
     def allows_another(self) -> bool:
-        """Tell whether a run may follow the attempt that is under way."""
+        """Tell whether another run may follow the current attempt."""
         return self.runs + 1 < self.may_run
 
 
@@ -48,14 +48,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Withheld:
-    """Nothing was sent: the upstream leaves, or rests, since it was placed."""
+    """Nothing was sent: the upstream left or backed off after the placement."""
 
 
 @dataclass(frozen=True, slots=True)
 class Declined:
-    """The upstream says that it did not run the request.
+    """The upstream reports that it did not run the request.
 
-    :param rests: whether it wants nothing for a while.
+    :param rests: whether it requests a back-off.
     """
 
     rests: bool = False
@@ -63,9 +63,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Broken:
-    """The request may have run; no whole answer came.
+    """The request may have run; no complete response was received.
 
-    :param begun: whether the caller has a part of the answer.
+    :param begun: whether the caller has received part of the response.
     """
 
     detail: str
@@ -74,14 +74,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Withdrawn:
-    """We took the request back; it may have run."""
+    """This instance withdrew the request; it may have run."""
 
 
 @dataclass(frozen=True, slots=True)
 class Answered:
-    """A whole answer came, good or bad.
+    """A complete response was received, a success or a failure.
 
-    :param good: whether the upstream did what it was asked.
+    :param good: whether the upstream processed the request successfully.
     """
 
     good: bool
@@ -94,12 +94,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PassOn:
-    """Give the caller the upstream's answer."""
+    """Forward the upstream's response to the caller."""
 
 
 @dataclass(frozen=True, slots=True)
 class GiveUp:
-    """Give the caller an answer of our own."""
+    """Answer the caller with a problem document."""
 
     problem: Problem
 
@@ -109,7 +109,7 @@
 
 
 def begin(route: Route) -> AttemptState:
-    """Make the state of a request that was not sent yet."""
+    """Return the initial state of a request that was not sent yet."""
     may_run = max(route.max_attempts, 1) if route.repeatable else 1
     return AttemptState(route.repeatable, may_run)
 
@@ -117,17 +117,17 @@
 def decide(
     state: AttemptState, ended: AttemptEnd, *, affordable: bool
 ) -> tuple[AttemptState, Step]:
-    """Take the end of an attempt.
+    """Apply the end of an attempt.
 
     :param affordable: whether the retry budget allows another send.
-    :returns: the next state, and what to do.
+    :returns: the next state and the next step.
     """
     match ended:
         case Withheld():
             return state, TryAgain()
         case Unsent() | Declined():
             after = replace(state, sends=state.sends + 1)
-            if affordable and after.sends < MOST_SENDS:
+            if affordable and after.sends < MAX_SENDS:
                 return after, TryAgain()
             return after, GiveUp(refuse(after, NotRunReason.REFUSED))
         case Broken(detail=detail):
@@ -152,9 +152,11 @@
     reason: NotRunReason,
     retry_after: Millis = RETRY_AFTER,
 ) -> Problem:
-    """Return what may truthfully be said when no upstream is left.
+    """Return the problem to report when no upstream remains.
 
-    :param retry_after: when the caller should come back.
+    ``NotRun`` only if no attempt may have run, otherwise ``OutcomeUnknown``.
+
+    :param retry_after: retry delay for the caller.
     """
     if state.runs:
         return OutcomeUnknown('an earlier attempt may have run')
@@ -162,7 +164,7 @@
 
 
 def check_refusal(state: AttemptState, problem: Problem) -> None:
-    """Check that nothing ran which the caller is told did not run."""
+    """Check that a request reported as not run has not run."""
     if isinstance(problem, NotRun):
         check_invariant(
             NOT_RUN, holds=not state.runs, detail=f'{state.runs} runs'
--- a/src/cartdale/relay/frames.py
+++ b/src/cartdale/relay/frames.py
@@ -1,26 +1,26 @@
 """Split a stream of server-sent events without changing its bytes.
 
-The caller gets exactly the bytes that the upstream made, so events are only
-delimited here, never decoded and written anew.
+The caller gets exactly the bytes that the upstream sent: events are only
+delimited here, never decoded and re-encoded.
 """
 
-_ENDS = (b'\n\n', b'\r\n\r\n')
+_TERMINATORS = (b'\n\n', b'\r\n\r\n')
 _ID_FIELD = b'id:'
 
 
 class EventFrames:
-    """Cut received bytes into whole events."""
+    """Split received bytes into complete events."""
 
     def __init__(self) -> None:
         self._pending = b''
 
     @property
     def pending(self) -> bytes:
-        """Return the bytes of the event that is not whole yet."""
+        """Return the bytes of the incomplete event."""
         return self._pending
 
     def feed(self, received: bytes) -> list[bytes]:
-        """Take bytes and return the events that became whole."""
+        """Append bytes and return the events that are complete."""
         self._pending += received
         events: list[bytes] = []
         while True:
@@ -32,25 +32,27 @@
 
 
 def read_id(event: bytes) -> bytes:
-    """Return an event's id; empty when it has none."""
+    """Return the id of an event; empty if it has none."""
     for line in event.splitlines():
         if line.startswith(_ID_FIELD):
             return line[len(_ID_FIELD) :].strip()
     return b''
 
 
-def follows(name: bytes, last: bytes) -> bool:
-    """Tell whether an event may come after the last one.
+def follows(event_id: bytes, last: bytes) -> bool:
+    """Tell whether an event id may follow the last one.
 
-    Ids rise; ids that are no numbers can only be told to differ.
+    Numeric ids must increase; other ids must only differ.
     """
-    if name.isdigit() and last.isdigit():
-        return int(name) > int(last)
-    return name != last
+    if event_id.isdigit() and last.isdigit():
+        return int(event_id) > int(last)
+    return event_id != last
 
 
 def _find_end(raw: bytes) -> int:
     ends = [
-        found + len(mark) for mark in _ENDS if (found := raw.find(mark)) >= 0
+        position + len(terminator)
+        for terminator in _TERMINATORS
+        if (position := raw.find(terminator)) >= 0
     ]
     return min(ends, default=0)
--- a/src/cartdale/relay/generation.py
+++ b/src/cartdale/relay/generation.py
@@ -1,9 +1,8 @@
-"""Hold which engine runs a generation, and move it to another.
+"""Track which engine runs a generation, and move it to another.
 
-A generation moves when its engine leaves, and goes on from a copy or its
-backup when its link breaks. What follows from each event is decided in
-``moves.decide``; this module acts on it, and ``relay.copying`` asks for the
-copies.
+A generation moves when its engine leaves, and resumes from a copy or its
+backup when its link breaks. ``moves.decide`` decides the next action after each
+event; this module runs the action, and ``relay.copying`` requests the copies.
 """
 
 import trio
@@ -44,18 +43,18 @@
 from cartdale.relay.types import COPY_TIMEOUT, ResumePoint, RoutedRequest
 from cartdale.switches import Mechanism
 
-#: First pause before another look for an engine with room for a generation that
-#: must leave; each next one is twice as long, so that engines which refuse are
-#: asked a few times only in their neighbor's notice.
-_LOOK_AGAIN: Millis = 40
-#: Longest wait for an engine whose link broke to answer a copy.
-_RESCUE_PATIENCE: Millis = 400
+#: First pause before a generation that must leave looks for a target again.
+#: Each further pause is twice as long, so that engines which refuse get only a
+#: few requests within the drain notice of the source.
+_FIRST_RETRY_PAUSE: Millis = 40
+#: Maximum wait for the copy response of an engine whose link broke.
+_RESCUE_COPY_TIMEOUT: Millis = 400
 
 
 class RunningGeneration:
-    """Hold where one generation runs, and what is under way with it.
+    """Track where one generation runs, and its pending copy or move.
 
-    :param event_tokens: tokens that an event holds.
+    :param event_tokens: tokens per event.
     """
 
     def __init__(
@@ -68,58 +67,58 @@
         self._meter = PaceMeter(
             ports.fleet, ports.clock, routed.service, event_tokens
         )
-        #: Set once the copy that is under way has ended.
-        self._settled = trio.Event()
+        #: Set once the pending copy has ended.
+        self._copy_ended = trio.Event()
         self._next_backup: UpstreamEntry | None = None
         self._state: MoveState | None = None
         self._ended = False
         self._moving = False
         self._copier = Copier(ports.upstreams, ports.clock, self.request_id)
-        #: Times that it went on at another engine.
+        #: Number of times it resumed at another engine.
         self.moves = 0
 
     @property
     def request_id(self) -> str:
-        """Return the caller's id of the request."""
+        """Return the caller's request id."""
         return self._routed.request.request_id
 
     @property
     def upstream(self) -> str:
-        """Return the id of the engine that runs it; empty for none."""
+        """Return the id of the engine that runs it; empty if none does."""
         return self._state.source.upstream if self._state else ''
 
     @property
     def tokens(self) -> int:
-        """Return the memory that it holds, in tokens."""
+        """Return the memory that it occupies, in tokens."""
         load = self._occupancy.load
         return load.tokens if load else 0
 
     @property
     def events(self) -> int:
-        """Return how many events the caller got."""
+        """Return the number of events passed on to the caller."""
         return self._occupancy.events
 
     @property
     def most_left(self) -> int:
-        """Return how many tokens it makes at the most from here."""
+        """Return the maximum number of tokens that it may still generate."""
         made = self.events * self._event_tokens
         return max(self._routed.request.max_tokens - made, 0)
 
     @property
     def backup(self) -> str:
-        """Return the id of the engine that keeps its backup; empty for none."""
+        """Return the id of its backup engine; empty if it has none."""
         kept = self._state.backup if self._state else None
         return kept.upstream if kept else ''
 
     @property
     def is_stopped(self) -> bool:
-        """Tell whether it was stopped, so that its link ends without end."""
+        """Tell whether it was stopped: its link then ends prematurely."""
         return self._state is not None and moves.is_stopped(self._state)
 
     def begin(self, upstream: UpstreamEntry) -> str:
         """Start at an engine.
 
-        :returns: address of the engine to keep up to date; empty for none.
+        :returns: address of the backup engine; empty for none.
         """
         before = self._ports.fleet.load_at(upstream.upstream)
         self._meter.begin(before.reading + self._routed.request.prompt_tokens)
@@ -129,9 +128,9 @@
         return backup.address if backup else ''
 
     def end(self, *, over: bool = True) -> None:
-        """Note that the engine has ended it, or did not take it.
+        """Note that the engine has ended or refused it.
 
-        :param over: whether no other engine follows.
+        :param over: whether no attempt at another engine follows.
         """
         self._ended = over
         self._meter.end()
@@ -141,29 +140,29 @@
         self._state = None
 
     def advance(self) -> None:
-        """Count an event that the caller got."""
+        """Count an event passed on to the caller."""
         self._occupancy.advance()
         if not self.moves:
             self._meter.advance()
 
-    # Leaving while the engine still serves.
+    # Leaving while the engine still serves requests.
 
     async def leave(self, departure: Departure) -> None:
         """Move away from an engine that leaves.
 
-        A generation with a backup stays to the end: that costs the link of
-        the engine nothing, which is what others need to leave in time.
+        A generation with a backup stays until the engine ends: this keeps the
+        engine's link free for the generations that must be copied in time.
         """
         if self.backup or self._moving:
             return
         self._moving = True
         refused: set[str] = set()
-        pause = _LOOK_AGAIN
+        pause = _FIRST_RETRY_PAUSE
         try:
             while not self._ended and self._ports.clock.now() < departure.until:
                 target = self._choose_target(refused)
                 if target is None:
-                    # Others need not wait until there is room for this one.
+                    # Other copies need not wait until this one finds capacity.
                     self._occupancy.exempt()
                     refused.clear()
                     await trio.sleep(as_seconds(pause))
@@ -176,22 +175,22 @@
             self._moving = False
 
     def stay(self) -> None:
-        """Tell others that it needs no copy: it ends before the engine."""
+        """Note that it needs no copy, since it ends before the engine."""
         self._occupancy.exempt()
 
     def lose_backup(self) -> None:
-        """Count on its backup no more: the backup's engine leaves."""
-        self._tell(BackupLost())
+        """Drop its backup, since the backup's engine leaves."""
+        self._dispatch(BackupLost())
         self._occupancy.lose_backup()
 
-    # Going on after the link has ended.
+    # Resuming after the link has ended.
 
     async def lose_link(self) -> UpstreamEntry | None:
-        """Return where it goes on after its link ended, if anywhere."""
-        action = self._tell(LinkEnded())
+        """Return the engine to resume at after its link ended, if any."""
+        action = self._dispatch(LinkEnded())
         if isinstance(action, AwaitCopy):
-            await self._settled.wait()
-            action = self._tell(LinkEnded())
+            await self._copy_ended.wait()
+            action = self._dispatch(LinkEnded())
         if isinstance(action, ChooseRescue):
             action = await self._rescue()
         return action.upstream if isinstance(action, Resume) else None
@@ -199,7 +198,7 @@
     def prepare_resume(
         self, upstream: UpstreamEntry
     ) -> tuple[ResumePoint, str]:
-        """Return what to send along, and the address of the next backup."""
+        """Return the resume point and the address of the next backup."""
         state = self._state or moves.begin(upstream)
         self._occupancy.assign(upstream)
         self._next_backup = self._occupancy.choose_backup(upstream)
@@ -211,13 +210,13 @@
         return point, backup.address if backup else ''
 
     def resumed(self) -> None:
-        """Note that it goes on where it was sent."""
+        """Note that the engine has resumed it."""
         self.moves += 1
-        self._tell(Resumed(self._next_backup))
+        self._dispatch(Resumed(self._next_backup))
 
     def resume_rejected(self) -> UpstreamEntry | None:
-        """Return where else it may go on, if anywhere."""
-        action = self._tell(ResumeRejected())
+        """Return another engine to resume at, if any."""
+        action = self._dispatch(ResumeRejected())
         return action.upstream if isinstance(action, Resume) else None
 
     # Copying.
@@ -225,18 +224,18 @@
     async def _copy_to(
         self, target: UpstreamEntry, departure: Departure
     ) -> bool:
-        """Copy to a target; tell whether the move is over, good or bad."""
-        self._settled = trio.Event()
+        """Copy to a target; return whether the move has succeeded or failed."""
+        self._copy_ended = trio.Event()
         try:
             with self._occupancy.reserve(target):
-                action = self._tell(TargetChosen(target))
+                action = self._dispatch(TargetChosen(target))
                 while isinstance(action, Copy | AwaitQuiet):
-                    action = await self._proceed(action, departure)
+                    action = await self._run_action(action, departure)
             return not isinstance(action, ChooseAgain)
         finally:
-            self._settled.set()
+            self._copy_ended.set()
 
-    async def _proceed(
+    async def _run_action(
         self, action: Copy | AwaitQuiet, departure: Departure
     ) -> Action | None:
         if isinstance(action, Copy):
@@ -244,11 +243,11 @@
         left = departure.stop_at - self._ports.clock.now()
         if left <= 0 or self._copier.link_free:
             self._occupancy.exempt()
-            return self._tell(LinkQuiet())
+            return self._dispatch(LinkQuiet())
         if self._copier.renewed and self._state is not None:
             pause = moves.choose_pause(self._state)
             await trio.sleep(as_seconds(min(left, pause)))
-        return self._tell(LinkBusy())
+        return self._dispatch(LinkBusy())
 
     async def _copy(
         self, action: Copy, timeout: Millis = COPY_TIMEOUT
@@ -265,19 +264,19 @@
             return None
         if self._state is None and isinstance(outcome, CopyEnded):
             _discard(self._ports, state, outcome.handle)
-        return self._tell(outcome)
+        return self._dispatch(outcome)
 
     async def _rescue(self) -> Action | None:
-        """Stop it at its source, if it runs on there behind the link."""
+        """Stop it at its source, where it may still run without its link."""
         backup = self._state.backup if self._state else None
         target = backup or self._choose_target(set())
         if not self._ports.fleet.switches.is_enabled(Mechanism.RESCUE):
             target = None
-        action = self._tell(RescueTarget(target))
+        action = self._dispatch(RescueTarget(target))
         if isinstance(action, Copy):
-            action = await self._copy(action, _RESCUE_PATIENCE)
+            action = await self._copy(action, _RESCUE_COPY_TIMEOUT)
         if action is None:
-            action = self._tell(LinkEnded())
+            action = self._dispatch(LinkEnded())
         return action
 
     def _choose_target(self, refused: set[str]) -> UpstreamEntry | None:
@@ -288,7 +287,7 @@
             self._ports.fleet, self._routed, load, state.source, refused
         )
 
-    def _tell(self, message: Message) -> Action | None:
+    def _dispatch(self, message: Message) -> Action | None:
         before = self._state
         if before is None:
             return Cut()
@@ -306,6 +305,6 @@
 
 
 def _discard(ports: RelayPorts, state: MoveState, handle: str) -> None:
-    """Free a copy at the target that nobody will go on from."""
+    """Free a copy at the target that will not be resumed from."""
     if state.target is not None and handle:
         ports.copy_releaser.add(state.target.address, handle)
--- a/src/cartdale/relay/links.py
+++ b/src/cartdale/relay/links.py
@@ -1,4 +1,4 @@
-"""Follow one link to an upstream, and have its end looked into."""
+"""Track one link to an upstream, and probe the upstream when it breaks."""
 
 from cartdale.clock import Millis
 from cartdale.fleet.types import UpstreamEntry
@@ -9,9 +9,9 @@
 
 
 class CarriedLink:
-    """Follow the present link of a request.
+    """Track the current link of a request.
 
-    A request has one link after another, to upstreams where it goes on.
+    A request that resumes elsewhere has several links in sequence.
     """
 
     def __init__(self, ports: RelayPorts, routed: RoutedRequest) -> None:
@@ -23,37 +23,37 @@
         self._begun = False
 
     def begin(self, upstream: UpstreamEntry) -> None:
-        """Note that a link begins."""
+        """Start to track a link."""
         self._upstream = upstream
         self._began_at = self._ports.clock.now()
         self._events = 0
         self._begun = False
 
     def note_head(self) -> None:
-        """Note that the head of an answer came."""
+        """Note that the response head was received."""
         self._begun = True
 
     def note_event(self) -> None:
-        """Note that an event came."""
+        """Note that an event was received."""
         self._events += 1
         if self._events == EVENTS_PAST_START + 1:
-            self._acquit()
+            self._record_survival()
 
-    def note_whole(self, *, framed: bool, good: bool) -> None:
-        """Note that an answer came that looks whole.
+    def note_complete(self, *, framed: bool, good: bool) -> None:
+        """Note that a response ended and appears complete.
 
-        :param framed: whether it says itself where it ends; without that one
-            whose upstream ended looks the same.
+        :param framed: whether the response delimits its body; without that, a
+            response cut short by a crash looks the same.
         :param good: whether it is a success; a failure may come from an
-            upstream that ran nothing of the request.
+            upstream that did not run the request.
         """
         if not framed:
-            self.inquire()
+            self.probe_upstream()
         elif good:
-            self._acquit()
+            self._record_survival()
 
-    def inquire(self) -> None:
-        """Have it found out whether the upstream ended as its link did."""
+    def probe_upstream(self) -> None:
+        """Queue a crash probe of the upstream of the current link."""
         if self._upstream is None:
             return
         self._ports.crash_prober.probe(
@@ -67,5 +67,5 @@
             )
         )
 
-    def _acquit(self) -> None:
+    def _record_survival(self) -> None:
         self._ports.fleet.quarantine.record_survival(self._routed.identity)
--- a/src/cartdale/relay/occupancy.py
+++ b/src/cartdale/relay/occupancy.py
@@ -1,4 +1,4 @@
-"""Count a generation among the loads of the engines that it occupies."""
+"""Count a generation in the loads of the engines that it occupies."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -12,9 +12,9 @@
 
 
 class Occupancy:
-    """Follow what one generation takes at engines.
+    """Track the load of one generation at its engines.
 
-    :param event_tokens: tokens that an event holds.
+    :param event_tokens: tokens per event.
     """
 
     def __init__(
@@ -24,23 +24,23 @@
         self._routed = routed
         self._event_tokens = event_tokens
         self._assignment: Assignment | None = None
-        #: Events that the caller got, from all engines.
+        #: Events passed on to the caller, from all engines.
         self.events = 0
 
     @property
     def load(self) -> Load | None:
-        """Return its load at the engine that runs it; ``None`` for none."""
+        """Return its load at the engine that runs it; ``None`` if none does."""
         return self._assignment.load() if self._assignment else None
 
     def assign(self, upstream: UpstreamEntry) -> None:
-        """Count it at an engine, and no more at the one before."""
+        """Count it at an engine, and no longer at the previous one."""
         self.release()
         self._assignment = self._make_assignment(upstream)
         self._fleet.loads.assign(self._assignment)
         self._fleet.announce()
 
     def release(self) -> None:
-        """Count it nowhere, and wake those who wait for room."""
+        """Stop counting it, and wake requests that wait for capacity."""
         if self._assignment is not None:
             self._fleet.loads.release(self._assignment)
             self._assignment = None
@@ -54,21 +54,21 @@
         return chosen
 
     def exempt(self) -> None:
-        """Tell that others need not wait for its copy.
+        """Note that other generations need not wait for its copy.
 
-        It stops now, ends before its engine, or finds no room elsewhere.
+        It stops now, ends before its engine, or finds no capacity elsewhere.
         """
         if self._assignment is not None and not self._assignment.exempt:
             self._fleet.loads.exempt(self._assignment)
             self._fleet.notify()
 
     def lose_backup(self) -> None:
-        """Count its backup nowhere."""
+        """Stop counting its backup."""
         if self._assignment is not None:
             self._assignment.backup = ''
 
     def advance(self) -> None:
-        """Count an event that the caller got."""
+        """Count an event passed on to the caller."""
         self.events += 1
         if self._assignment is not None:
             self._assignment.advance(self._event_tokens)
@@ -77,7 +77,8 @@
     def reserve(self, target: UpstreamEntry) -> Iterator[None]:
         """Count it at its target too while it is copied there.
 
-        Those who wait to leave the same engine hear that its link is in use.
+        Generations that wait to leave the same engine are notified that its
+        link is in use.
         """
         reserved = self._make_assignment(target)
         source = self._assignment
--- a/src/cartdale/relay/pacing.py
+++ b/src/cartdale/relay/pacing.py
@@ -1,4 +1,4 @@
-"""Measure how one generation goes at the engine that it began at."""
+"""Measure the pace of one generation at its first engine."""
 
 from cartdale.clock import Clock, Millis
 from cartdale.fleet.driver import Fleet
@@ -6,10 +6,10 @@
 
 
 class PaceMeter:
-    """Time a generation's events, and tell the fleet once it has left.
+    """Time a generation's events, and report to the fleet at its end there.
 
-    :param service: whose engines are timed.
-    :param event_tokens: tokens that an event holds.
+    :param service: service whose engines are timed.
+    :param event_tokens: tokens per event.
     """
 
     def __init__(
@@ -19,18 +19,19 @@
         self._clock = clock
         self._service = service
         self._event_tokens = event_tokens
-        self._read = 0
+        self._tokens_to_read = 0
         self._sent_at: Millis = 0
         self._first_at: Millis = 0
         self._last_at: Millis = 0
         self._events = 0
 
-    def begin(self, read: int) -> None:
+    def begin(self, tokens_to_read: int) -> None:
         """Start when the generation is sent.
 
-        :param read: tokens of its prompt, and of those that wait before it.
+        :param tokens_to_read: prompt tokens that its engine reads before the
+            first event: its own and those queued ahead of it.
         """
-        self._read = read
+        self._tokens_to_read = tokens_to_read
         self._sent_at = self._clock.now()
         self._events = 0
 
@@ -42,11 +43,11 @@
         self._events += 1
 
     def end(self) -> None:
-        """Tell what was seen, if there was anything."""
+        """Report the measured progress, if any event was received."""
         if not self._events:
             return
         progress = Progress(
-            read=self._read,
+            read=self._tokens_to_read,
             first_after=self._first_at - self._sent_at,
             events=self._events - 1,
             span=self._last_at - self._first_at,
--- a/src/cartdale/relay/passing.py
+++ b/src/cartdale/relay/passing.py
@@ -1,4 +1,4 @@
-"""Pass a generation's events on to its caller, over one link after another."""
+"""Pass the events of a generation on to its caller, across links."""
 
 from collections.abc import AsyncIterator
 
@@ -13,30 +13,29 @@
 from cartdale.relay.links import CarriedLink
 from cartdale.relay.ports import RelayPorts
 from cartdale.relay.silence import (
-    LOOK_AFTER,
-    REPORTS_WITHOUT,
+    MIN_ABSENT_REPORTS,
+    MIN_REPORT_WAIT,
     RunState,
-    look_up,
+    fetch_run_state,
 )
 from cartdale.relay.types import LinkBrokeError, ResponseSink
 from cartdale.switches import Mechanism
 
-#: A stream that is silent for so long goes on elsewhere if it can: its engine
-#: has stalled for longer than any pause that is in time.
-_SILENCE: Millis = SECOND_MS
-#: After so long its engine is asked whether it has made more than came here:
-#: a connection may fall silent for good while its engine works on. Longer than
-#: the reading of a prompt beside it, which is the longest usual pause.
-_ASK_AFTER: Millis = SECOND_MS // 2
+#: A stream that is silent for so long resumes elsewhere if it can: its engine
+#: has stalled for longer than any pause within the target.
+_SILENCE_TIMEOUT: Millis = SECOND_MS
+#: Silence after which the engine's report is checked for events that were not
+#: received: a connection may stay silent while its engine works on. Longer than
+#: the engine's reading of another prompt, which is the longest usual pause.
+_STATUS_CHECK_AFTER: Millis = SECOND_MS // 2
 
 
 class EventPasser:
-    """Pass events on, each once and in order, whatever link they come by.
+    """Pass each event on once and in order, across all links.
 
     :param last_event: id of the last event that the caller has.
-    :param target_gap: longest pause between two events that is in time; 0 for
-        any.
-    :param link: what the events come by, one after another.
+    :param target_gap: maximum pause between two events; 0 for no limit.
+    :param link: tracks the current link.
     """
 
     def __init__(
@@ -60,25 +59,24 @@
         self.last_event = last_event
         #: Longest pause between two events.
         self.longest_gap: Millis = 0
-        #: Where the generation goes on since its link fell silent, if it does.
-        self.left_for: UpstreamEntry | None = None
+        #: Engine to resume at after a silent link was abandoned, if any.
+        self.next_upstream: UpstreamEntry | None = None
         self._last_at: Millis = 0
-        #: When the present wait for bytes began; ``None`` while some are
-        #: passed on: a caller who reads slowly is not an engine that is silent.
+        #: When the current wait for bytes began; ``None`` while events are
+        #: passed on: a slow caller must not count as a silent engine.
         self._reading_since: Millis | None = None
-        #: Around each wait for bytes of the present link.
+        #: Cancels the current wait for bytes.
         self._reading = trio.CancelScope()
         self._link_since: Millis = 0
-        #: Reports of the engine in a row that did not know the generation.
-        self._reports_without = 0
-        #: Whether the generation is on its way from a silent link to another,
-        #: and whether it is gone.
-        self._leaving_link = False
-        self._link_left = False
+        #: Consecutive reports of the engine that did not list the generation.
+        self._absent_reports = 0
+        #: Whether a silent link is being abandoned, and whether it has been.
+        self._abandoning_link = False
+        self._link_abandoned = False
 
     @property
     def pending(self) -> bytes:
-        """Return the bytes of an event that is not whole yet."""
+        """Return the bytes of the incomplete event."""
         return self._frames.pending
 
     async def pass_until_end(
@@ -88,33 +86,33 @@
         repeatable: bool,
         resumed: bool = False,
     ) -> str:
-        """Pass a link's events on; return how it broke, empty for its end.
+        """Pass a link's events on; return how it broke, empty if it did not.
 
-        :param repeatable: whether another engine may go on without a copy.
-        :param resumed: whether the engine goes on from a copy.
+        :param repeatable: whether another engine may resume without a copy.
+        :param resumed: whether the engine resumes from a copy.
         """
         self._resumed = resumed
         self._frames = EventFrames()
         self._repeatable = repeatable
         self._link_since = self._ports.clock.now()
-        self._reports_without = 0
-        self._leaving_link = False
-        self._link_left = False
-        self.left_for = None
+        self._absent_reports = 0
+        self._abandoning_link = False
+        self._link_abandoned = False
+        self.next_upstream = None
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._watch_silence)
-            broken = await self._pass_chunks(chunks)
-            if not self._leaving_link:
+            failure = await self._pass_chunks(chunks)
+            if not self._abandoning_link:
                 nursery.cancel_scope.cancel()
-        return broken
+        return failure
 
     async def _pass_chunks(self, chunks: AsyncIterator[bytes]) -> str:
-        """Pass events on until the link ends, breaks or was left.
+        """Pass events on until the link ends, breaks or is abandoned.
 
-        Only the reading is ever cancelled: an event that is being written
-        counts as passed on already.
+        Only the read is ever cancelled: an event that is being written already
+        counts as passed on.
         """
-        while not self._link_left:
+        while not self._link_abandoned:
             self._reading = trio.CancelScope()
             self._reading_since = self._ports.clock.now()
             try:
@@ -128,69 +126,70 @@
             if chunk is None:
                 return ''
             for event in self._frames.feed(chunk):
-                if self._begins_late(event):
+                if self._skips_first_events(event):
                     return 'its first event is not the first'
                 await self._pass(event)
         return 'silence'
 
-    def _begins_late(self, event: bytes) -> bool:
-        """Tell whether an engine goes on after events that never came here.
+    def _skips_first_events(self, event: bytes) -> bool:
+        """Tell whether a resumed stream skips its first events.
 
-        One that goes on from a copy is told the last event that the caller
-        has; of a caller without any it can't know where to begin.
+        An engine that resumes from a copy gets the id of the last event that
+        the caller has. If there is none, it can't know where to begin.
         """
-        name = read_id(event)
-        empty_handed = self._resumed and not self.last_event
-        return empty_handed and name.isdigit() and int(name) > 1
+        event_id = read_id(event)
+        without_position = self._resumed and not self.last_event
+        return without_position and event_id.isdigit() and int(event_id) > 1
 
     async def _watch_silence(self) -> None:
-        """Leave the link once it is silent though more could come.
+        """Abandon the link once it is silent though more events are due.
 
-        It stays open until the generation has stopped: an engine whose
-        connection closes drops what it runs.
+        The link stays open until the generation has stopped: an engine drops
+        the request of a connection that closes.
         """
-        ran_on = False
-        while not ran_on or not await self._is_silent():
+        on_schedule = False
+        while not on_schedule or not await self._is_silent():
             slept_at = self._ports.clock.now()
-            await trio.sleep(as_seconds(_ASK_AFTER))
-            # An instance that stood still itself first reads what has come.
+            await trio.sleep(as_seconds(_STATUS_CHECK_AFTER))
+            # After a pause of its own process, an instance first reads what
+            # has arrived.
             slept = self._ports.clock.now() - slept_at
-            ran_on = slept < 2 * _ASK_AFTER
-        self._leaving_link = True
-        self.left_for = await self._generation.lose_link()
-        self._link_left = True
+            on_schedule = slept < 2 * _STATUS_CHECK_AFTER
+        self._abandoning_link = True
+        self.next_upstream = await self._generation.lose_link()
+        self._link_abandoned = True
         self._reading.cancel()
 
     async def _is_silent(self) -> bool:
         last_at = max(self._last_at, self._link_since)
         since = self._ports.clock.now() - last_at
-        if since < _ASK_AFTER:
+        if since < _STATUS_CHECK_AFTER:
             return False
         if not self._ports.fleet.switches.is_enabled(Mechanism.SILENCE):
             return False
         movable = self._generation.backup or self._repeatable
-        if self._last_at and movable and since >= _SILENCE:
+        if self._last_at and movable and since >= _SILENCE_TIMEOUT:
             return True
-        state = await look_up(self._ports, self._generation)
-        if state is RunState.GONE and self._has_waited(LOOK_AFTER):
-            self._reports_without += 1
-            return self._reports_without >= REPORTS_WITHOUT
-        self._reports_without = 0
+        state = await fetch_run_state(self._ports, self._generation)
+        if state is RunState.GONE and self._has_waited(MIN_REPORT_WAIT):
+            self._absent_reports += 1
+            return self._absent_reports >= MIN_ABSENT_REPORTS
+        self._absent_reports = 0
         return bool(self._last_at) and state is RunState.AHEAD
 
-    def _has_waited(self, longest: Millis) -> bool:
-        """Tell whether bytes of the present link were waited for so long."""
+    def _has_waited(self, duration: Millis) -> bool:
+        """Tell whether the current wait for bytes has lasted so long."""
         began = self._reading_since
-        return began is not None and self._ports.clock.now() - began >= longest
+        return began is not None and self._ports.clock.now() - began >= duration
 
     async def _pass(self, event: bytes) -> None:
-        name = read_id(event)
+        event_id = read_id(event)
         check_invariant(
             ONCE_IN_ORDER,
-            holds=not name or follows(name, self.last_event),
-            detail=f'event {name!r} after {self.last_event!r}',
+            holds=not event_id or follows(event_id, self.last_event),
+            detail=f'event {event_id!r} after {self.last_event!r}',
         )
-        self.last_event = name or self.last_event
+        self.last_event = event_id or self.last_event
         self._generation.advance()
         self._link.note_event()
         self._note_gap()
@@ -205,7 +204,7 @@
         self.longest_gap = max(self.longest_gap, gap)
 
     def _log_gap(self, gap: Millis) -> None:
-        """Tell of a pause that is too long, and longer than any before."""
+        """Log a pause that exceeds the target and all earlier pauses."""
         logger.info(
             'pause too long',
             request=self._generation.request_id,
--- a/src/cartdale/relay/plain.py
+++ b/src/cartdale/relay/plain.py
@@ -1,4 +1,4 @@
-"""Carry a request whose answer is passed on once it is whole."""
+"""Forward a request whose response is passed on once it is complete."""
 
 from math import inf
 
@@ -43,21 +43,21 @@
     UpstreamCall,
 )
 
-#: Part of the target latency after which a request that may repeat is sent
-#: elsewhere: an upstream that stays silent so long is slower than nearly all
-#: answers, and the rest of the time suffices for one more.
-_PATIENCE_SHARE = 0.6
+#: Share of the target latency after which a repeatable request is sent to
+#: another upstream: nearly all responses take less, and the remaining time
+#: suffices for another attempt.
+_TIMEOUT_SHARE = 0.6
 _FIRST_REDIRECT = 300
 _FIRST_SERVER_ERROR = 500
 
 
-Ended = tuple[AttemptEnd, CompleteResponse | None]
+EndedAttempt = tuple[AttemptEnd, CompleteResponse | None]
 
 
 class PlainForwarder:
-    """Carry one request.
+    """Forward one request.
 
-    :param routed: the request and what is known of it.
+    :param routed: the request with its route.
     """
 
     def __init__(self, ports: RelayPorts, routed: RoutedRequest) -> None:
@@ -68,7 +68,7 @@
         self._state: AttemptState = begin(routed.route)
 
     async def forward(self) -> Result[CompleteResponse, Problem]:
-        """Return an upstream's answer, or why there is none."""
+        """Return an upstream's response, or the problem to report."""
         self._ports.budget.count(self._routed.service, self._ports.clock.now())
         left = time_left(self._ports, self._routed)
         with trio.move_on_after(as_seconds(left)):
@@ -83,7 +83,7 @@
                 return Failure(refuse(self._state, upstream.reason, wait))
             name = upstream.entry.upstream
             self._tried.add(name)
-            ended, whole = await self._attempt(upstream)
+            ended, response = await self._attempt(upstream)
             if may_choose_again(ended):
                 self._tried.discard(name)
             after, step = conclude(
@@ -93,10 +93,10 @@
             match step:
                 case GiveUp(problem=problem):
                     return Failure(problem)
-                case PassOn() if whole is not None:
-                    return Success(whole)
+                case PassOn() if response is not None:
+                    return Success(response)
 
-    async def _attempt(self, upstream: Upstream) -> Ended:
+    async def _attempt(self, upstream: Upstream) -> EndedAttempt:
         assignment = Assignment(upstream.entry.upstream, 0, 0)
         fleet = self._ports.fleet
         fleet.loads.assign(assignment)
@@ -104,7 +104,7 @@
         self._link.begin(call.upstream)
         sent_at = self._ports.clock.now()
         try:
-            with trio.move_on_after(self._patience()):
+            with trio.move_on_after(self._attempt_timeout()):
                 ended = await self._send(call)
                 if isinstance(ended[0], Answered):
                     took = self._ports.clock.now() - sent_at
@@ -115,7 +115,7 @@
             fleet.loads.release(assignment)
             fleet.notify()
 
-    async def _send(self, call: UpstreamCall) -> Ended:
+    async def _send(self, call: UpstreamCall) -> EndedAttempt:
         async with self._ports.upstreams.open(call) as opened:
             match opened:
                 case Success(answer):
@@ -128,7 +128,9 @@
                     return self._break(detail), None
         return Broken('no answer'), None
 
-    async def _read(self, answer: OpenedResponse, call: UpstreamCall) -> Ended:
+    async def _read(
+        self, answer: OpenedResponse, call: UpstreamCall
+    ) -> EndedAttempt:
         fleet = self._ports.fleet
         declined = find_decline(fleet, answer, call.upstream.upstream)
         if declined is not None:
@@ -139,21 +141,21 @@
         except LinkBrokeError as error:
             return self._break(error.detail), None
         ran = answer.status < _FIRST_REDIRECT
-        self._link.note_whole(framed=answer.framed, good=ran)
+        self._link.note_complete(framed=answer.framed, good=ran)
         good = answer.status < _FIRST_SERVER_ERROR
-        whole = CompleteResponse(answer.status, answer.headers, body)
-        return Answered(good=good), whole
+        response = CompleteResponse(answer.status, answer.headers, body)
+        return Answered(good=good), response
 
     def _break(self, detail: str) -> Broken:
-        """Return a broken link, and have its upstream looked at."""
-        self._link.inquire()
+        """Return a broken link, and queue a crash probe of its upstream."""
+        self._link.probe_upstream()
         return Broken(detail)
 
-    def _patience(self) -> float:
-        """Return how many seconds an attempt may stay silent."""
+    def _attempt_timeout(self) -> float:
+        """Return the timeout of an attempt in seconds."""
         target = self._routed.route.target_latency
         if self._state.allows_another and target:
-            return as_seconds(int(_PATIENCE_SHARE * target))
+            return as_seconds(int(_TIMEOUT_SHARE * target))
         return inf
 
     def _time_out(self) -> Problem:
--- a/src/cartdale/relay/ports.py
+++ b/src/cartdale/relay/ports.py
@@ -1,4 +1,4 @@
-"""What every relayed request works with."""
+"""Dependencies of every relayed request."""
 
 from dataclasses import dataclass
 
@@ -13,11 +13,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayPorts:
-    """Hold what every relayed request needs.
+    """Hold the dependencies of every relayed request.
 
-    :param upstreams: reaches upstreams.
-    :param copy_releaser: frees copies that nobody goes on from.
-    :param crash_prober: finds out whether an upstream ended as its link broke.
+    :param upstreams: connects to upstreams.
+    :param copy_releaser: frees copies that are not resumed from.
+    :param crash_prober: probes whether an upstream crashed as its link broke.
     """
 
     clock: Clock
--- a/src/cartdale/relay/request_needs.py
+++ b/src/cartdale/relay/request_needs.py
@@ -1,4 +1,4 @@
-"""What a request takes at an upstream."""
+"""Estimate the capacity that a request takes at an upstream."""
 
 from cartdale.fleet.choose import READING_SHARE, RequestNeeds
 from cartdale.fleet.loads import Assignment
@@ -6,13 +6,13 @@
 from cartdale.moves.estimates import ends_in_time
 from cartdale.relay.types import RoutedRequest
 
-_NOTHING: frozenset[str] = frozenset()
+_NO_UPSTREAMS: frozenset[str] = frozenset()
 
 
 def make_request_needs(
-    routed: RoutedRequest, excluded: frozenset[str] = _NOTHING
+    routed: RoutedRequest, excluded: frozenset[str] = _NO_UPSTREAMS
 ) -> RequestNeeds:
-    """Return what a request takes at an upstream."""
+    """Return the capacity that a request takes at an upstream."""
     request = routed.request
     expected = request.expected_tokens or request.max_tokens // 2
     if request.max_tokens:
@@ -31,16 +31,16 @@
 def make_assignment(
     routed: RoutedRequest, upstream: UpstreamEntry, made: int
 ) -> Assignment:
-    """Return the load that a request is at an upstream.
+    """Return the load of a request at an upstream.
 
-    :param made: tokens made before it came there.
+    :param made: tokens generated before it was assigned there.
     """
     needs = make_request_needs(routed)
-    most = routed.request.max_tokens
+    max_tokens = routed.request.max_tokens
     return Assignment(
         upstream.upstream,
         needs.prompt,
         needs.expected,
         made,
-        short=bool(most) and ends_in_time(most),
+        short=bool(max_tokens) and ends_in_time(max_tokens),
     )
--- a/src/cartdale/relay/silence.py
+++ b/src/cartdale/relay/silence.py
@@ -1,7 +1,7 @@
-"""Tell a connection that fell silent from an engine that makes nothing.
+"""Distinguish a silent connection from an engine that generates nothing.
 
-What an engine's report says of a request decides whether its connection is
-waited for: a connection may fall silent for good while new ones come up.
+The engine's report decides whether to keep waiting for a connection: one may
+stay silent for good while new connections to the same engine work.
 """
 
 from enum import StrEnum
@@ -14,36 +14,36 @@
 from cartdale.relay.generation import RunningGeneration
 from cartdale.relay.ports import RelayPorts
 
-#: Reports show an engine as it was about half a second ago; a request is in
-#: each that is asked for a second after it was sent, unless its engine has
-#: nothing of it.
-LOOK_AFTER: Millis = SECOND_MS
-#: Between two looks at what became of a request.
-_LOOK_EVERY: Millis = SECOND_MS // 2
-#: Reports in a row that must not know a request before it is given up.
-REPORTS_WITHOUT = 2
+#: Reports show the state of an engine about half a second ago. A report that is
+#: requested a second after a request was sent lists the request, unless the
+#: engine does not have it.
+MIN_REPORT_WAIT: Millis = SECOND_MS
+#: Between two reports on a request.
+_REPORT_INTERVAL: Millis = SECOND_MS // 2
+#: Consecutive reports without a request after which it counts as lost.
+MIN_ABSENT_REPORTS = 2
 
 
 class RunState(StrEnum):
-    """Say what an engine's report tells of a request."""
+    """State of a request according to its engine's report."""
 
-    #: It made more events than came here.
+    #: More events were generated than received here.
     AHEAD = 'ahead'
     RUNNING = 'running'
-    #: It may be among those that wait there, which are only counted.
+    #: It may be queued there: queued requests are only counted.
     WAITING = 'waiting'
-    #: It neither runs nor waits there: it has ended, or never arrived.
+    #: It is neither running nor queued: it has ended or never arrived.
     GONE = 'gone'
-    #: The engine did not answer.
+    #: The engine did not respond.
     UNREADABLE = 'unreadable'
 
 
-def judge_run(
+def find_run_state(
     report: EngineReport | None, request_id: str, events: int
 ) -> RunState:
-    """Return what a report tells of a request.
+    """Return the state of a request according to a report.
 
-    :param events: how many came here.
+    :param events: number of events received.
     """
     if report is None:
         return RunState.UNREADABLE
@@ -53,15 +53,17 @@
     return RunState.WAITING if report.waiting else RunState.GONE
 
 
-async def look_up(ports: RelayPorts, generation: RunningGeneration) -> RunState:
-    """Ask the engine that runs a generation what it knows of it."""
+async def fetch_run_state(
+    ports: RelayPorts, generation: RunningGeneration
+) -> RunState:
+    """Fetch the report of the engine that runs a generation."""
     known = ports.fleet.find(generation.upstream)
     if known is None or generation.is_stopped:
         return RunState.UNREADABLE
     if known.backoff_until > ports.clock.now():
         return RunState.UNREADABLE
     answer = await ports.upstreams.report(known.entry.address)
-    state = judge_run(
+    state = find_run_state(
         answer.value_or(None), generation.request_id, generation.events
     )
     logger.info(
@@ -75,15 +77,15 @@
 
 
 async def await_loss(ports: RelayPorts, generation: RunningGeneration) -> None:
-    """Return once the engine certainly has nothing of a request any more.
+    """Return once the engine certainly does not have a request any more.
 
-    For a request of which nothing has come yet. Without this its caller would
-    wait until the time limit for an answer that nobody makes.
+    For a request without a response head. Otherwise its caller would wait until
+    the time limit for a response that no engine generates.
     """
-    await trio.sleep(as_seconds(LOOK_AFTER))
-    without = 0
-    while without < REPORTS_WITHOUT:
-        state = await look_up(ports, generation)
-        without = without + 1 if state is RunState.GONE else 0
-        if without < REPORTS_WITHOUT:
-            await trio.sleep(as_seconds(_LOOK_EVERY))
+    await trio.sleep(as_seconds(MIN_REPORT_WAIT))
+    absent = 0
+    while absent < MIN_ABSENT_REPORTS:
+        state = await fetch_run_state(ports, generation)
+        absent = absent + 1 if state is RunState.GONE else 0
+        if absent < MIN_ABSENT_REPORTS:
+            await trio.sleep(as_seconds(_REPORT_INTERVAL))
--- a/src/cartdale/relay/stream.py
+++ b/src/cartdale/relay/stream.py
@@ -1,4 +1,4 @@
-"""Carry a streamed generation, over as many engines as it moves through."""
+"""Forward a streamed generation across the engines that it moves to."""
 
 from dataclasses import replace
 from enum import StrEnum
@@ -58,25 +58,25 @@
 
 
 class StreamEnd(StrEnum):
-    """Say how a stream ended."""
+    """Outcome of a stream."""
 
     WHOLE = 'whole'
-    #: The caller has a true part of the answer and no end.
+    #: The caller received a correct part of the response without its end.
     CUT = 'cut'
-    #: The upstream's own failure was passed on instead.
+    #: The upstream's failure response was passed on instead.
     FAILED = 'failed'
 
 
-#: How a link to an engine ended: the stream's end, the attempt's end when
-#: nothing was streamed, or the engine where the generation goes on.
+#: How a link to an engine ended: the end of the stream, the end of the attempt
+#: if nothing was streamed, or the engine at which the generation resumes.
 LinkEnd = StreamEnd | AttemptEnd | UpstreamEntry
 
 
 class StreamForwarder:
-    """Carry one generation.
+    """Forward one generation.
 
-    :param sink: where the answer is written.
-    :param generation: holds which engine runs it.
+    :param sink: receives the response.
+    :param generation: tracks which engine runs it.
     """
 
     def __init__(
@@ -107,7 +107,7 @@
             routed.route.target_gap,
             self._link,
         )
-        #: An upstream's own failure, passed on if nobody else is asked.
+        #: An upstream's failure response, passed on if no attempt follows.
         self._failure: CompleteResponse | None = None
         self._started = False
         self._sent = False
@@ -118,7 +118,7 @@
         return self._passer.longest_gap
 
     async def forward(self) -> Result[StreamEnd, Problem]:
-        """Stream the answer, or return why nothing was streamed."""
+        """Stream the response, or return why nothing was streamed."""
         self._ports.budget.count(self._routed.service, self._ports.clock.now())
         left = time_left(self._ports, self._routed)
         try:
@@ -158,7 +158,7 @@
                     return await self._pass_failure()
 
     def _give_up(self, problem: Problem) -> Result[StreamEnd, Problem]:
-        """Cut what was begun, or return why nothing was streamed."""
+        """Cut a started stream, or return why nothing was streamed."""
         return Success(StreamEnd.CUT) if self._started else Failure(problem)
 
     async def _pass_failure(self) -> Result[StreamEnd, Problem]:
@@ -179,15 +179,15 @@
         return ended
 
     async def _resume(self, upstream: UpstreamEntry) -> LinkEnd:
-        """Go on at an engine that holds the generation's memory."""
+        """Resume at an engine that holds the generation's memory."""
         if await find_refusal(self._ports, self._routed) is not None:
-            # It would end the engine that keeps its backup as well.
+            # It would also crash the engine that holds its backup.
             return self._break('quarantined')
         if not self._ports.fleet.may_finish_move(upstream):
             return self._generation.resume_rejected() or self._break(
                 'evacuated'
             )
-        await self._outwait_rest(upstream)
+        await self._wait_out_backoff(upstream)
         point, backup = self._generation.prepare_resume(upstream)
         left = time_left(self._ports, self._routed)
         call = UpstreamCall(
@@ -198,11 +198,11 @@
             return self._generation.resume_rejected() or self._break('refused')
         return ended
 
-    async def _outwait_rest(self, upstream: UpstreamEntry) -> None:
-        """Wait while the engine that holds the memory wants no requests.
+    async def _wait_out_backoff(self, upstream: UpstreamEntry) -> None:
+        """Wait while the engine that holds the memory backs off.
 
-        A pause is better than an end; one that outlasts the request ends it
-        at its time limit as any pause would.
+        A pause is better than a cut stream. A back-off that exceeds the time
+        limit of the request ends it there, as any pause would.
         """
         known = self._ports.fleet.find(upstream.upstream)
         if known is not None:
@@ -210,51 +210,51 @@
             await trio.sleep(as_seconds(max(backoff, 0)))
 
     async def _open(self, call: UpstreamCall) -> LinkEnd:
-        """Send a request, and read its answer unless none will come."""
+        """Send a request and read its response, unless the engine lost it."""
         self._sent = True
         self._link.begin(call.upstream)
         guard = self._ports.fleet.quarantine.guard(self._routed.identity)
         ended: LinkEnd | None = None
         with guard:
-            ended = await self._await_answer(call, guard)
+            ended = await self._await_response(call, guard)
         if guard.stopped:
             return withdraw(self._routed, call.upstream.upstream)
         if ended is None:
             return await self._lose_link('nothing of it at its engine')
         return ended
 
-    async def _await_answer(
+    async def _await_response(
         self, call: UpstreamCall, guard: Guard
     ) -> LinkEnd | None:
-        """Read an answer; ``None`` when its engine has nothing of it.
+        """Read a response; ``None`` if the engine does not have the request.
 
-        :param guard: released when the answer begins: the engine bears it, or
-            ends before anything could be done.
+        :param guard: released when the response begins: by then the engine has
+            either survived the request or crashed too early to withdraw it.
         """
-        watching, waiting = trio.CancelScope(), trio.CancelScope()
+        head_watch, response_wait = trio.CancelScope(), trio.CancelScope()
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._watch_for_head, watching, waiting)
-            with waiting:
+            nursery.start_soon(self._watch_for_loss, head_watch, response_wait)
+            with response_wait:
                 async with self._ports.upstreams.open(call) as opened:
-                    watching.cancel()
+                    head_watch.cancel()
                     guard.release()
-                    return await self._take_opened(opened, call)
+                    return await self._handle_opened(opened, call)
         return None
 
-    async def _watch_for_head(
-        self, watching: trio.CancelScope, waiting: trio.CancelScope
+    async def _watch_for_loss(
+        self, head_watch: trio.CancelScope, response_wait: trio.CancelScope
     ) -> None:
-        """End the wait for an answer once its engine has nothing of it.
+        """Cancel the wait for a response once the engine lost the request.
 
-        :param watching: cancelled when the answer begins.
-        :param waiting: to be cancelled.
+        :param head_watch: cancelled when the response begins.
+        :param response_wait: cancelled once the engine lost the request.
         """
-        with watching:
+        with head_watch:
             if self._ports.fleet.switches.is_enabled(Mechanism.SILENCE):
                 await await_loss(self._ports, self._generation)
-                waiting.cancel()
+                response_wait.cancel()
 
-    async def _take_opened(
+    async def _handle_opened(
         self, opened: Result[OpenedResponse, SendFailure], call: UpstreamCall
     ) -> LinkEnd:
         match opened:
@@ -263,7 +263,7 @@
             case Failure(LinkBroke(detail=detail)) if call.resume is None:
                 return await self._lose_link(detail)
             case Failure(LinkBroke(detail=detail)):
-                self._link.inquire()
+                self._link.probe_upstream()
                 return self._break(detail)
             case Failure(SendWithheld()):
                 return Withheld()
@@ -290,13 +290,13 @@
         return await self._pass_events(answer, resumed=resumed)
 
     async def _read_failure(self, answer: OpenedResponse) -> LinkEnd:
-        """Keep an upstream's own failure; another may be asked instead."""
+        """Keep an upstream's failure response; another attempt may follow."""
         if self._started:
             return self._break(f'status {answer.status}')
         try:
             body = b''.join([chunk async for chunk in answer.chunks])
         except LinkBrokeError as error:
-            self._link.inquire()
+            self._link.probe_upstream()
             return self._break(error.detail)
         self._failure = CompleteResponse(answer.status, answer.headers, body)
         return Answered(good=False)
@@ -304,18 +304,18 @@
     async def _pass_events(
         self, answer: OpenedResponse, *, resumed: bool = False
     ) -> LinkEnd:
-        broken = await self._passer.pass_until_end(
+        failure = await self._passer.pass_until_end(
             answer.chunks,
             repeatable=self._attempts.allows_another,
             resumed=resumed,
         )
-        if broken and self._passer.left_for is not None:
-            return self._passer.left_for
-        if broken:
-            return await self._lose_link(broken)
+        if failure and self._passer.next_upstream is not None:
+            return self._passer.next_upstream
+        if failure:
+            return await self._lose_link(failure)
         if self._generation.is_stopped and not answer.framed:
-            # A stopped stream is closed without its end, and so is a whole
-            # one whose body has no frame.
+            # A stopped stream closes without its end, and so does a complete
+            # one whose body is not delimited.
             return await self._lose_link('stopped')
         if self._passer.pending:
             if answer.status == _SUCCESS:
@@ -323,13 +323,13 @@
             await self._sink.write(self._passer.pending)
         await self._sink.finish()
         good = answer.status == _SUCCESS
-        self._link.note_whole(framed=answer.framed, good=good)
+        self._link.note_complete(framed=answer.framed, good=good)
         return StreamEnd.WHOLE
 
     async def _lose_link(self, detail: str) -> LinkEnd:
-        """Return where the generation goes on, or how the attempt ended."""
+        """Return the engine to resume at, or how the attempt ended."""
         if not self._generation.is_stopped:
-            self._link.inquire()
+            self._link.probe_upstream()
         upstream = await self._generation.lose_link()
         if upstream is not None:
             return upstream
--- a/src/cartdale/relay/targets.py
+++ b/src/cartdale/relay/targets.py
@@ -1,4 +1,4 @@
-"""Choose the engine that a generation moves to, and the one of its backup."""
+"""Choose the target engine of a move, and the engine of a backup."""
 
 from collections.abc import Iterable
 from dataclasses import replace
@@ -12,19 +12,20 @@
 from cartdale.relay.types import RoutedRequest
 from cartdale.switches import Mechanism
 
-#: What another failure domain counts when a target is chosen: the copy takes
-#: twice as long, and the others of the engine wait behind it.
+#: Cost of a target in another failure domain: the copy takes twice as long, and
+#: the other copies of the engine wait for it.
 _FAR_MOVE_COST = 0.3
-#: Part of an engine's memory that may be filled when a backup is sent there;
-#: fuller ones were measured to push running generations aside for it.
-_BACKUP_FILLED = 0.8
-#: Part of the memory of all engines of a service, with the growth that is
-#: expected, up to which any long generation gets a backup: twice as much, with
-#: the backups, then still leaves every engine room for a prompt. Above it
-#: memory serves others better than the rare crash without notice.
-_SERVICE_FILLED = 0.4
-#: Tokens to make from which on a backup is worth its memory.
-_BACKUP_WORTH = 100
+#: Maximum share of an engine's memory in use when a backup is placed there:
+#: fuller engines preempt running generations for it.
+_MAX_FILLED_FOR_BACKUP_SHARE = 0.8
+#: Maximum share of the memory of all engines of a service, including the
+#: expected growth, up to which any long generation gets a backup: even doubled
+#: by the backups, it leaves every engine capacity for a prompt. Above this
+#: share, memory is of more use to other requests than against the rare crash
+#: without notice.
+_MAX_SERVICE_FILLED_SHARE = 0.4
+#: Expected tokens from which a backup is worth its memory.
+_MIN_BACKUP_TOKENS = 100
 
 
 def choose_target(
@@ -36,13 +37,14 @@
 ) -> UpstreamEntry | None:
     """Return an engine that can hold a generation now.
 
-    Room to grow is not asked for: to be pushed aside later is better than to
-    be lost, and an engine without room refuses the copy. All engines are looked
-    at: of three among thirty in three failure domains none lies near in 3 of 10
-    choices, and a copy to another domain takes twice as long.
+    Memory for its growth is not required: a later preemption is better than a
+    lost generation, and an engine without capacity refuses the copy. All
+    engines are compared: with three random choices among thirty engines in
+    three failure domains, 3 of 10 choices include no engine of the same domain,
+    and a copy to another domain takes twice as long.
 
-    :param load: what the generation takes at its source.
-    :param refused: engines that did not take the copy.
+    :param load: load of the generation at its source.
+    :param refused: engines that refused the copy.
     """
     needs = RequestNeeds(
         service=source.service,
@@ -62,16 +64,16 @@
 def choose_backup(
     fleet: Fleet, routed: RoutedRequest, source: UpstreamEntry
 ) -> UpstreamEntry | None:
-    """Return an engine with memory to spare for a second copy.
+    """Return an engine with spare memory for a backup.
 
-    While the engines of the service are mostly empty, memory costs nobody
-    anything, and a backup survives an engine that ends without notice. When
-    they fill, only a generation gets one whose engine holds more than its link
-    carries away once it leaves: what can't be moved then is lost for sure.
-    On 30 engines of 21,878 tokens that were nearly full, backups for every
-    long generation cost 0.1 to 0.2 of all worth.
+    While the engines of the service are mostly empty, spare memory has no other
+    use, and a backup survives an engine that crashes without notice. When they
+    fill up, a generation gets a backup only if its engine holds more than its
+    link can transfer in a drain: what can't be moved then is certainly lost. On
+    30 nearly full engines of 21,878 tokens, backups for all long generations
+    cost 0.1 to 0.2 of all worth.
 
-    ``None`` also where the service keeps no backups, and for short
+    Returns ``None`` also if the service keeps no backups, and for short
     generations.
     """
     spec = fleet.table.services_by_name.get(source.service)
@@ -80,15 +82,19 @@
     if not fleet.switches.is_enabled(Mechanism.BACKUPS):
         return None
     needs = make_request_needs(routed, frozenset((source.upstream,)))
-    if needs.expected < _BACKUP_WORTH:
+    if needs.expected < _MIN_BACKUP_TOKENS:
         return None
     load = fleet.load_at(source.upstream)
     awaiting_copy = int(load.share_awaiting_copy * load.tokens)
     movable = SourceLink(spec.engine).carries_all(awaiting_copy)
-    if movable and fleet.filled_share(needs) > _SERVICE_FILLED:
+    if movable and fleet.filled_share(needs) > _MAX_SERVICE_FILLED_SHARE:
         return None
     copied = replace(
-        needs, reads=0, read_within=0, filled=_BACKUP_FILLED, sends=False
+        needs,
+        reads=0,
+        read_within=0,
+        filled=_MAX_FILLED_FOR_BACKUP_SHARE,
+        sends=False,
     )
     chosen = fleet.choose(copied)
     return chosen.entry if chosen else None
--- a/src/cartdale/relay/types.py
+++ b/src/cartdale/relay/types.py
@@ -14,7 +14,7 @@
 from cartdale.quarantine.identity import Identity
 from cartdale.routes.types import Route, ServiceSpec
 
-#: Longest wait for a copy: all of an engine's memory over its link.
+#: Maximum wait for a copy: all of an engine's memory over its link.
 COPY_TIMEOUT: Millis = 3 * SECOND_MS
 
 Headers = tuple[tuple[bytes, bytes], ...]
@@ -22,18 +22,18 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerRequest:
-    """Hold a request as the caller sent it, free of wire names.
+    """Hold a request as the caller sent it, independent of the protocol.
 
     :param target: path and query, unchanged.
     :param key: the caller's credential; empty for none.
-    :param deadline: how long the caller waits; 0 when it did not say.
+    :param deadline: how long the caller waits; 0 if unspecified.
     :param prompt_tokens: tokens to read; 0 for a plain request.
-    :param max_tokens: the most tokens to make.
-    :param expected_tokens: the caller's estimate of the tokens to make,
-        right at the median; 0 when it gave none.
-    :param last_event: id of the last event that the caller has from a stream
-        that broke; empty for a request from the start.
-    :param headers: those that an upstream gets as they are.
+    :param max_tokens: maximum number of tokens to generate.
+    :param expected_tokens: the caller's estimate of the tokens to generate,
+        correct at the median; 0 for none.
+    :param last_event: id of the last event that the caller has from a broken
+        stream; empty for a request from the start.
+    :param headers: headers forwarded to the upstream unchanged.
     """
 
     request_id: str
@@ -57,14 +57,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutedRequest:
-    """Hold a request with what the configuration says of it.
+    """Hold a request with the route and limits configured for it.
 
-    :param customer: who sent it; empty on routes without keys.
+    :param customer: sender; empty on routes without keys.
     :param priority: 0 is the most urgent.
-    :param ends_at: when the caller or the route gives it up.
+    :param ends_at: time limit of the caller or the route.
     :param domains: failure domains that it may enter; ``None`` for all.
-    :param identity: what it has in common with other submissions of the same
-        request.
+    :param identity: digest shared by all submissions of the same request.
     """
 
     request: CallerRequest
@@ -80,10 +79,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ResumePoint:
-    """Say where the memory of a moved generation lies.
+    """Locate the memory of a moved generation.
 
-    :param address: engine that names the copy.
-    :param handle: the copy's name there.
+    :param address: engine that issued the handle.
+    :param handle: handle of the copy at that engine.
     """
 
     address: str
@@ -94,12 +93,12 @@
 class UpstreamCall:
     """Send a request to one upstream.
 
-    :param left: time that remains, in milliseconds.
+    :param left: remaining time, in milliseconds.
     :param last_event: id of the last event that the caller has; the upstream
-        goes on after it. Empty for a request from the start.
-    :param resume: where the memory of a moved generation lies; without it
-        the upstream reads everything anew.
-    :param backup: address of the engine to keep up to date; empty for none.
+        resumes after it. Empty for a request from the start.
+    :param resume: location of a moved generation's memory; without it the
+        upstream reads the whole prompt again.
+    :param backup: address of the backup engine; empty for none.
     """
 
     routed: RoutedRequest
@@ -111,25 +110,25 @@
 
 
 class ExecutionStatus(StrEnum):
-    """Say what an answer's head tells of the request."""
+    """Whether the request ran, according to the response head."""
 
-    #: The upstream ran it, or runs it.
+    #: The upstream has run it or is running it.
     RAN = 'ran'
-    #: The upstream turned it away and never runs it.
+    #: The upstream refused it and never runs it.
     NOT_RUN = 'not_run'
-    #: Another upstream has the address; it did not run the request.
+    #: Another upstream has taken over the address and did not run it.
     REPLACED = 'replaced'
 
 
 @dataclass(frozen=True, slots=True)
 class OpenedResponse:
-    """Hold the head of an answer and read its body.
+    """Hold the head of a response and read its body.
 
-    :param headers: those that the caller gets as they are.
-    :param framed: whether the body says by itself where it ends; else it ends
-        with its connection.
-    :param backoff: how long the upstream wants nothing from this instance.
-    :param chunks: raises ``LinkBrokeError`` unless the body ends whole.
+    :param headers: headers forwarded to the caller unchanged.
+    :param framed: whether the body is delimited; otherwise it ends with its
+        connection.
+    :param backoff: back-off that the upstream requests from this instance.
+    :param chunks: raises ``LinkBrokeError`` unless the body is complete.
     """
 
     status: int
@@ -142,7 +141,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CompleteResponse:
-    """Hold an upstream's answer that is whole."""
+    """Hold a complete response of an upstream."""
 
     status: int
     headers: Headers
@@ -158,14 +157,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SendWithheld:
-    """Nothing was sent: the upstream wants nothing any more, or for now."""
+    """Nothing was sent: the upstream is leaving or backing off."""
 
 
 @dataclass(frozen=True, slots=True)
 class LinkBroke:
-    """The request may have run; no whole answer came.
+    """The request may have run; no complete response was received.
 
-    :param timed_out: whether nothing came in time, though nothing broke.
+    :param timed_out: whether the read timed out on an intact connection.
     """
 
     detail: str
@@ -177,9 +176,9 @@
 
 
 class LinkBrokeError(CartdaleError):
-    """Signal that an answer's body ended before it was whole.
+    """Raised when a response body ends before it is complete.
 
-    :param detail: what the transport saw.
+    :param detail: the transport's error.
     """
 
     def __init__(self, detail: str) -> None:
@@ -189,10 +188,10 @@
 
 @dataclass(frozen=True, slots=True)
 class MemoryCopy:
-    """Ask an engine to copy a generation's memory to another.
+    """Request that an engine copies a generation's memory to another.
 
     :param last: whether the generation stops first.
-    :param timeout: longest wait for the answer.
+    :param timeout: maximum wait for the response.
     """
 
     request_id: str
@@ -204,10 +203,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Copied:
-    """The copy is done.
+    """The copy is complete.
 
-    :param handle: the copy's name.
-    :param events: events made so far.
+    :param handle: handle of the copy.
+    :param events: events generated so far.
     """
 
     handle: str
@@ -215,25 +214,25 @@
 
 
 class CopyFault(StrEnum):
-    """Say why a copy was not made."""
+    """Reason why a copy failed."""
 
-    #: The engine does not run such a generation.
+    #: The engine does not run the generation.
     UNKNOWN_RUN = 'unknown_run'
-    #: Another copy of it is under way.
+    #: Another copy of it is in progress.
     BUSY = 'busy'
-    #: The target has no room or can't be reached.
+    #: The target has no capacity or can't be reached.
     NO_ROOM = 'no_room'
-    #: The engine can't be reached: nothing was asked of it.
+    #: The engine can't be reached: no request was sent.
     UNREACHABLE = 'unreachable'
-    #: No answer came.
+    #: No response was received.
     NO_ANSWER = 'no_answer'
 
 
 @dataclass(frozen=True, slots=True)
 class CopyFailed:
-    """The copy was not made, or nobody knows.
+    """The copy failed, or its outcome is unknown.
 
-    :param handle: names the memory that a stopped source keeps.
+    :param handle: handle of the memory that a stopped source keeps.
     """
 
     fault: CopyFault
@@ -241,31 +240,31 @@
 
 
 class UpstreamPort(Protocol):
-    """Reach upstreams."""
+    """Send requests to upstreams."""
 
     def open(self, call: UpstreamCall) -> Opened:
-        """Send a request and read the head of its answer."""
+        """Send a request and read the head of its response."""
 
     async def copy(self, copy: MemoryCopy) -> Result[Copied, CopyFailed]:
         """Copy a generation's memory."""
 
     async def release_copy(self, address: str, handle: str) -> None:
-        """Free a copy that is not needed."""
+        """Free an unused copy."""
 
     async def report(self, address: str) -> Result[EngineReport, SendFailure]:
-        """Read what an engine holds."""
+        """Fetch the report of an engine."""
 
     async def is_gone(
         self, upstream: UpstreamEntry, spec: ServiceSpec | None
     ) -> bool:
-        """Tell whether an upstream ended, or started anew since its entry.
+        """Tell whether an upstream ended or restarted since its entry.
 
-        :param spec: its service, as the configuration describes it.
+        :param spec: its service in the configuration.
         """
 
 
 class ResponseSink(Protocol):
-    """Write an answer to the caller."""
+    """Write a response to the caller."""
 
     async def start(self, status: int, headers: Headers) -> None:
         """Write the head."""
@@ -274,7 +273,7 @@
         """Write a part of the body."""
 
     async def finish(self) -> None:
-        """Mark the body as whole."""
+        """Mark the body as complete."""
 
     async def answer(self, status: int, headers: Headers, body: bytes) -> None:
-        """Write an answer that is known as a whole."""
+        """Write a complete response."""
--- a/tests/test_heard_departures.py
+++ b/tests/test_heard_departures.py
@@ -44,7 +44,7 @@
 from cartdale.peers.authentication import Authenticator
 from cartdale.platform.upstreams import PlatformUpstreams
 from cartdale.relay.decide import (
-    MOST_SENDS,
+    MAX_SENDS,
     AttemptState,
     TryAgain,
     Withheld,
@@ -251,7 +251,7 @@
 
 def test_a_send_that_was_held_back_costs_no_attempt() -> None:
     state = AttemptState(repeatable=False, may_run=1)
-    for _ in range(2 * MOST_SENDS):
+    for _ in range(2 * MAX_SENDS):
         state, step = decide_attempt(state, Withheld(), affordable=False)
         assert step == TryAgain()
     assert state == AttemptState(repeatable=False, may_run=1)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -7,7 +7,7 @@
 from cartdale.exceptions import InvariantError
 from cartdale.problems.types import NotRun, NotRunReason, OutcomeUnknown
 from cartdale.relay.decide import (
-    MOST_SENDS,
+    MAX_SENDS,
     Answered,
     AttemptState,
     Broken,
@@ -72,7 +72,7 @@
     None
 ):
     state = make_state(RouteKind.UNSAFE, 1)
-    for _ in range(MOST_SENDS - 1):
+    for _ in range(MAX_SENDS - 1):
         state, step = decide(state, Declined(), affordable=True)
         assert step == TryAgain()
     state, step = decide(state, Unsent(), affordable=True)
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -3,7 +3,7 @@
 import pytest
 
 from cartdale.fleet.types import EngineReport, RunReport
-from cartdale.relay.silence import RunState, judge_run
+from cartdale.relay.silence import RunState, find_run_state
 
 
 def make_report(*runs: RunReport, waiting: int = 0) -> EngineReport:
@@ -28,4 +28,4 @@
 def test_report_tells_the_state_of_a_request(
     report: EngineReport | None, events: int, state: RunState
 ) -> None:
-    assert judge_run(report, 'r', events) is state
+    assert find_run_state(report, 'r', events) is state
