--- a/tests/test_crash_probes.py
+++ b/tests/test_crash_probes.py
@@ -1,4 +1,4 @@
-"""What logs tell of a broken link: which request, and its upstream's end."""
+"""Crash probes, and the log lines of broken links that they write."""
 
 import trio
 from loguru import logger
@@ -14,7 +14,7 @@
 
 
 class CountingUpstreams:
-    """Say that every upstream is gone, and count the questions."""
+    """Report every upstream as gone, and count the probes."""
 
     def __init__(self) -> None:
         self.asked = 0
@@ -53,7 +53,7 @@
     assert one != identify('GET', 'h', b'/a', '', b'b')
 
 
-async def test_an_upstream_is_asked_once_for_all_its_links(
+async def test_an_upstream_is_probed_once_for_all_its_links(
     autojump_clock,
 ) -> None:
     upstreams = CountingUpstreams()
@@ -72,7 +72,7 @@
     assert all(line['upstream_gone'] for line in lines)
 
 
-async def test_a_lost_answer_is_told_from_a_lost_upstream() -> None:
+async def test_a_lost_response_is_no_lost_upstream() -> None:
     lines = collect_lines('link broke')
     async with open_platform() as stage:
         stage.plains[0].faults.lost_responses = 1
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -1,4 +1,4 @@
-"""Callers that leave: what was begun for them ends, whatever its state."""
+"""Work for a caller that disconnects ends, whatever its state."""
 
 from collections.abc import AsyncIterator, Callable
 from contextlib import asynccontextmanager
@@ -16,7 +16,7 @@
     until,
 )
 
-#: An upstream may work on for so long after the caller has left, in seconds.
+#: Maximum time in seconds that an upstream works on after the caller left.
 BOUND = 0.5
 LONG = 1200
 LEAVES_MS = 9000
@@ -26,7 +26,7 @@
 async def draft_and_leave(
     stage: PlatformStage, path: str = '/draft/a'
 ) -> AsyncIterator[None]:
-    """Ask for a long draft; the caller leaves at the context's end."""
+    """Request a long draft; the caller disconnects at the context's end."""
     async with trio.open_nursery() as nursery:
         nursery.start_soon(draft, stage, 'r1', LONG, path)
         yield
@@ -43,7 +43,7 @@
 
 
 def is_forgotten(stage: PlatformStage) -> bool:
-    """Tell whether the instance holds nothing of the request any more."""
+    """Tell whether the instance no longer holds the request."""
     runtime = stage.runtimes[0]
     return (
         not runtime.mover.list_generations() and not runtime.fleet.loads.own()
--- a/tests/test_log_fields.py
+++ b/tests/test_log_fields.py
@@ -1,4 +1,4 @@
-"""Log lines: every field is a plain value that a program can read."""
+"""Every field of a log line is a plain value that a program can read."""
 
 import re
 from collections.abc import Iterator
@@ -22,8 +22,8 @@
     until,
 )
 
-#: What the text of an object looks like: a call with named arguments, or a
-#: name between angle brackets.
+#: Matches the ``repr`` of an object: a call with named arguments, or a name in
+#: angle brackets.
 _OBJECT = re.compile(r'\w+\(\w+=|<\w+[.:\s]')
 Line = dict[str, Any]
 ENTRY = UpstreamEntry('i-1', 's', 'a:1', 'west', 4)
@@ -31,7 +31,7 @@
 
 @contextmanager
 def recorded() -> Iterator[list[Line]]:
-    """Gather the fields of all log lines."""
+    """Collect the fields of all log lines."""
     lines: list[Line] = []
 
     def note(message: Any) -> None:
@@ -101,10 +101,10 @@
         ),
     ],
 )
-def test_messages_are_told_by_name_and_plain_fields(message, told) -> None:
+def test_messages_are_logged_by_name_and_plain_fields(message, told) -> None:
     assert format_log_fields('is', message) == told
 
 
-def test_errors_are_told_by_type_and_text() -> None:
+def test_errors_are_logged_by_type_and_text() -> None:
     assert format_error(ValueError('x')) == 'ValueError: x'
     assert format_error(TimeoutError()) == 'TimeoutError'
--- a/tests/test_heard_departures.py
+++ b/tests/test_peer_reported_departures.py
@@ -1,13 +1,11 @@
-"""An upstream that leaves says so in its answers, before the store does.
-
-Seen: while the store was away, an instance passed on an answer of a plain
-upstream that said that it leaves, and sent it requests for seconds after.
-Cause: nobody took what the answer said; departures came from the store, from
-peers who had read them there, and from engines' reports. And what a report had
-said, an older entry of the store took back. Proof: with the header taken where
-the head of an answer is read, and nothing else, none of thirty requests reached
-the upstream, where seventeen had; an entry that still said ready brought back
-one whose report had said that it leaves.
+"""Upstreams announce in response headers that they leave, before the store.
+
+Guards against two faults. During a store outage, an instance ignored the
+leaving header of a plain upstream's response and sent it requests for seconds:
+seventeen of thirty, and none once the header is applied where the response head
+is read. Departures came only from the store, from peers that had read them
+there, and from engines' reports. And an older entry of the store, which still
+said ready, reverted a departure that a report had announced.
 """
 
 import trio
@@ -70,8 +68,8 @@
 )
 from tests.test_fleet import make_entry, make_fleet
 
-#: Nothing new reaches an upstream so long after an instance knows that it
-#: leaves, in seconds.
+#: Time in seconds after which no new request reaches an upstream that an
+#: instance knows to be leaving.
 DRAIN_BOUND = 2
 PEER = PeerEntry('p', '10.0.0.1', 7200)
 
@@ -88,7 +86,7 @@
 async def count_after_bound(
     stage: PlatformStage, worker: PlatformWorker, instance: int = 0
 ) -> int:
-    """Return how many of thirty requests reach an upstream that leaves."""
+    """Return how many of thirty requests reach a leaving upstream."""
     await trio.sleep(DRAIN_BOUND)
     before = len(worker.arrivals)
     for number in range(30):
@@ -97,9 +95,7 @@
     return len(worker.arrivals) - before
 
 
-async def test_nothing_new_goes_to_who_said_in_an_answer_that_it_leaves() -> (
-    None
-):
+async def test_no_new_request_after_a_response_announced_leaving() -> None:
     async with open_platform(plains=2) as stage:
         stage.store.faults = PlatformStoreFaults(busy=True)
         leaving = stage.plains[0]
@@ -108,12 +104,12 @@
         assert await count_after_bound(stage, leaving) == 0
 
 
-def make_said(**told) -> LeavingAnnounced:
-    return LeavingAnnounced('a', **told)
+def make_announcement(**fields) -> LeavingAnnounced:
+    return LeavingAnnounced('a', **fields)
 
 
-def test_an_older_word_of_the_store_does_not_bring_it_back() -> None:
-    state, actions = decide(make_fleet('a', born=1), make_said(), 10)
+def test_an_older_store_entry_does_not_revert_the_departure() -> None:
+    state, actions = decide(make_fleet('a', born=1), make_announcement(), 10)
     assert actions == (BeganLeaving('a'),)
     for after in (20, MINUTE_MS, 5 * MINUTE_MS):
         ready = EntryWritten(make_entry('a', born=1))
@@ -127,9 +123,9 @@
         assert state.upstreams_by_id['a'].lifecycle is Lifecycle.LEAVING
 
 
-def test_it_is_forgotten_once_no_older_entry_is_left() -> None:
-    """Each departure was kept for minutes otherwise, whatever the store."""
-    state, _ = decide(make_fleet('a'), make_said(), 10)
+def test_departure_is_forgotten_once_no_older_entry_remains() -> None:
+    """Otherwise each departure is kept for minutes, whatever the store."""
+    state, _ = decide(make_fleet('a'), make_announcement(), 10)
     kept, _ = decide(state, TimePassed(), 10 + LEAVING_KEPT_MS)
     assert 'a' in kept.upstreams_by_id
     for lapsed in (EntryRemoved('a', True), EntryRemoved('a', from_peer=True)):
@@ -143,32 +139,36 @@
     assert decide(state, TimePassed(), longest)[1] == (Vanished('a'),)
 
 
-def test_a_new_life_begins_though_the_one_before_said_that_it_leaves() -> None:
-    state, _ = decide(make_fleet('a', born=1), make_said(), 10)
+def test_a_new_incarnation_is_live_after_the_last_one_left() -> None:
+    state, _ = decide(make_fleet('a', born=1), make_announcement(), 10)
     state, actions = decide(state, EntryWritten(make_entry('a', born=2)), 20)
     assert Restarted('a') in actions
-    state, actions = decide(state, make_said(from_peer=True, born=1), 30)
+    state, actions = decide(
+        state, make_announcement(from_peer=True, born=1), 30
+    )
     assert not actions
     assert state.upstreams_by_id['a'].lifecycle is Lifecycle.LIVE
 
 
-def test_its_own_word_holds_also_where_it_was_only_missing() -> None:
+def test_announcement_also_holds_for_a_missing_entry() -> None:
     state, _ = decide(make_fleet('a'), EntryRemoved('a'), 5)
-    state, _ = decide(state, make_said(), 6)
+    state, _ = decide(state, make_announcement(), 6)
     state, actions = decide(state, EntryWritten(make_entry('a')), 900)
     assert not actions
     assert state.upstreams_by_id['a'].lifecycle is Lifecycle.LEAVING
 
 
-def test_peers_hear_of_it_and_keep_to_it() -> None:
-    """Also those that the store tells otherwise later."""
+def test_peers_receive_the_departure_and_keep_it() -> None:
+    """Also if an older store entry reaches them later."""
     clock = VirtualClock()
-    teller = Fleet(clock, 'west', 1)
-    teller.dispatch(EntryWritten(make_entry('a', born=1)))
-    writer = NewsWriter(PEER, teller, clock, bool, bool)
+    publisher = Fleet(clock, 'west', 1)
+    publisher.dispatch(EntryWritten(make_entry('a', born=1)))
+    writer = NewsWriter(PEER, publisher, clock, bool, bool)
     authenticator = Authenticator((b'k' * 32,))
     writer.write(authenticator)
-    AdvisoryRecorder(teller, clock).record('a', Advisory(leaving=True), 'r', 0)
+    AdvisoryRecorder(publisher, clock).record(
+        'a', Advisory(leaving=True), 'r', 0
+    )
     assert writer.has_new()
     envelope = authenticator.verify(
         writer.write(authenticator), clock.wall_time()
@@ -176,16 +176,16 @@
     news = decode_binary(bytes(envelope.body), LoadNews)
     _, actions = decide_news(NewsState(), NewsArrived('p', news), 0, 0)
     assert ApplyLeaving('a', 1, announced=True) in actions
-    told = decide(
-        make_fleet('a', born=1), make_said(from_peer=True, born=1), 0
+    by_peer = decide(
+        make_fleet('a', born=1), make_announcement(from_peer=True, born=1), 0
     )[0]
-    after, _ = decide(told, EntryWritten(make_entry('a', born=1)), 10**5)
+    after, _ = decide(by_peer, EntryWritten(make_entry('a', born=1)), 10**5)
     assert after.upstreams_by_id['a'].lifecycle is Lifecycle.LEAVING
-    # Who was told does not tell it as its own news.
+    # A departure reported by a peer is not published as observed locally.
     assert not after.upstreams_by_id['a'].leaving_observed_locally
 
 
-async def test_a_peer_that_it_never_answered_sends_it_nothing() -> None:
+async def test_a_peer_without_a_response_of_it_sends_it_nothing() -> None:
     async with open_platform(plains=2, instances=2) as stage:
         news = [runtime.peers.news for runtime in stage.runtimes]
         await until(lambda: all(each.count_alive() == 2 for each in news))
@@ -204,8 +204,8 @@
         assert 'Server-Leaving' not in answer.headers
 
 
-async def test_it_is_known_when_a_long_answer_begins() -> None:
-    """Also that nothing may be kept there or moved there from then on."""
+async def test_departure_is_known_when_a_long_response_begins() -> None:
+    """From then on it gets no backups and no moves either."""
     async with open_platform(engines=2) as stage:
         fleet = stage.runtimes[0].fleet
         for engine in stage.engines:
@@ -218,8 +218,8 @@
         assert answers[0].content == whole('r1', 100)
 
 
-async def test_what_is_on_its_way_to_a_connection_is_held_back() -> None:
-    """It was placed; its upstream says that it leaves before it is sent."""
+async def test_placed_request_is_withheld_from_a_leaving_upstream() -> None:
+    """Its upstream announces that it leaves between placement and send."""
     async with open_platform(plains=2) as stage:
         leaving = stage.plains[0]
         fleet = stage.runtimes[0].fleet
@@ -249,7 +249,7 @@
     return UpstreamCall(routed, fleet.find(name).entry, 1000)
 
 
-def test_a_send_that_was_held_back_costs_no_attempt() -> None:
+def test_a_withheld_send_costs_no_attempt() -> None:
     state = AttemptState(repeatable=False, may_run=1)
     for _ in range(2 * MAX_SENDS):
         state, step = decide_attempt(state, Withheld(), affordable=False)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""Relay: attempts, refusals that are true, events kept as they are."""
+"""Relay: attempts, truthful refusals, and events passed on unchanged."""
 
 import pytest
 from hypothesis import given
@@ -68,9 +68,7 @@
     assert step == PassOn()
 
 
-def test_request_that_did_not_run_goes_elsewhere_and_is_refused_at_last() -> (
-    None
-):
+def test_request_that_did_not_run_is_retried_and_finally_refused() -> None:
     state = make_state(RouteKind.UNSAFE, 1)
     for _ in range(MAX_SENDS - 1):
         state, step = decide(state, Declined(), affordable=True)
@@ -108,7 +106,7 @@
             return
 
 
-def test_refusal_that_is_not_true_breaks_an_invariant() -> None:
+def test_false_refusal_breaks_an_invariant() -> None:
     state, _ = decide(
         make_state(RouteKind.SAFE, 2), Broken('x'), affordable=True
     )
@@ -118,7 +116,7 @@
 
 
 @given(st.lists(st.integers(1, 40), max_size=30), st.booleans())
-def test_events_are_cut_without_changing_a_byte(sizes, wide: bool) -> None:
+def test_events_are_split_without_changing_a_byte(sizes, wide: bool) -> None:
     line = b'\r\n' if wide else b'\n'
     events = [
         b'id: %d%sdata: x%s%s' % (number, line, line, line)
--- a/tests/test_rests.py
+++ b/tests/test_rests.py
@@ -47,7 +47,7 @@
     whole,
 )
 from tests.test_fleet import make_entry, make_fleet
-from tests.test_heard_departures import make_call_to
+from tests.test_peer_reported_departures import make_call_to
 
 #: The first part of a rest is for what is on its way, in seconds.
 ON_ITS_WAY = 0.5
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -1,4 +1,4 @@
-"""What an engine's report says of a request whose connection is silent."""
+"""State of a request with a silent connection, by its engine's report."""
 
 import pytest
 
--- a/tests/test_silent_links.py
+++ b/tests/test_silent_links.py
@@ -1,4 +1,4 @@
-"""A link that is left while events still come counts none that is not sent."""
+"""Silent links are abandoned without losing or miscounting events."""
 
 from collections.abc import AsyncIterator
 from dataclasses import replace
@@ -28,26 +28,26 @@
 
 
 class SlowSink:
-    """Take some time for each write, as a caller that reads slowly."""
+    """Delay each write, like a slow caller."""
 
     def __init__(self, takes: float = 0.8) -> None:
         self.takes = takes
         self.written: list[bytes] = []
 
     async def start(self, status: int, headers: object) -> None:
-        """Take the head."""
+        """Accept the head."""
 
     async def write(self, chunk: bytes) -> None:
-        """Take a part of the body."""
+        """Accept a part of the body."""
         await trio.sleep(self.takes)
         self.written.append(chunk)
 
     async def finish(self) -> None:
-        """Take the end."""
+        """Accept the end."""
 
 
 class BackedUp:
-    """A generation with a backup, which takes a while to leave its engine."""
+    """A generation with a backup, which is slow to leave its engine."""
 
     backup = 'b'
     is_stopped = False
@@ -91,7 +91,7 @@
     return OpenedResponse(200, (), ExecutionStatus.RAN, chunks)
 
 
-async def test_event_that_is_written_as_the_link_is_left_arrives(
+async def test_event_written_while_the_link_is_abandoned_arrives(
     autojump_clock,
 ) -> None:
     async def come_late() -> AsyncIterator[bytes]:
@@ -132,7 +132,7 @@
     assert len(sink.written) == 2
 
 
-async def test_instance_that_stood_still_reads_what_came(
+async def test_instance_reads_pending_events_after_a_pause(
     autojump_clock,
 ) -> None:
     async def come() -> AsyncIterator[bytes]:
@@ -152,19 +152,19 @@
 
 
 class Forgetful:
-    """An engine that has ended what it was asked, and answers reports."""
+    """An engine that ended its requests and still serves reports."""
 
     async def report(self, address: str):
         return Success(EngineReport(0, 0, 0, 0))
 
 
 class Ended(BackedUp):
-    """A generation that its engine has ended, without a backup."""
+    """A generation without a backup whose engine has ended it."""
 
     backup = ''
 
     async def lose_link(self) -> None:
-        """Find nothing to go on from."""
+        """Return no engine to resume at."""
         self.left += 1
 
 
@@ -179,7 +179,7 @@
     return forwarder
 
 
-async def test_caller_who_reads_slowly_gets_what_the_engine_has_ended(
+async def test_slow_caller_gets_the_complete_stream(
     autojump_clock,
 ) -> None:
     async def come() -> AsyncIterator[bytes]:
@@ -187,7 +187,7 @@
             yield b'id: %d\n\n' % number
 
     await trio.sleep(1)
-    # Longer than two reports that don't know the generation.
+    # Longer than two reports without the generation.
     sink, generation = SlowSink(takes=2.5), Ended()
     forwarder = make_forgotten(sink, generation)
     ended = await forwarder._pass_events(make_answer(come()))
@@ -196,7 +196,7 @@
     assert not generation.left
 
 
-async def test_link_of_a_generation_that_has_ended_is_left(
+async def test_link_of_an_ended_generation_is_abandoned(
     autojump_clock,
 ) -> None:
     async def come() -> AsyncIterator[bytes]:
--- a/tests/test_targets.py
+++ b/tests/test_targets.py
@@ -1,4 +1,4 @@
-"""Targets: which engine keeps the backup of a generation."""
+"""Choice of the engines for backups and for moves of generations."""
 
 import pytest
 
@@ -54,10 +54,10 @@
 @pytest.mark.parametrize(
     ('at_source', 'at_other', 'kept'),
     [
-        # Engines are mostly empty: memory is to spare.
+        # Engines are mostly empty: there is spare memory.
         (Load(1, 3000), Load(), True),
         (Load(1, 3000), Load(3, 12000), True),
-        # All of it leaves over the link in time: memory serves others.
+        # The link carries all of it in time: memory is for other requests.
         (Load(4, 14000), Load(4, 14000), False),
         (Load(1, 3000), Load(3, 15000, growth=16000), False),
         (Load(1, 3000), Load(8, 26000), False),
@@ -65,7 +65,7 @@
         (Load(7, 25000), Load(3, 12000), True),
         (Load(7, 25000), Load(6, 20000), True),
         (Load(7, 25000), Load(8, 26000), False),
-        # What has a backup need not be carried away.
+        # Generations with a backup need no copy.
         (Load(7, 25000, exempt=5), Load(6, 20000), False),
     ],
 )
--- a/tests/test_upstream_limits.py
+++ b/tests/test_upstream_limits.py
@@ -21,7 +21,7 @@
 from cartdale.relay.types import SendWithheld
 from cartdale_standins.platform_worker import PlatformWorker
 from tests.platform_stage import PlatformStage, ask, open_platform, until
-from tests.test_heard_departures import make_call_to
+from tests.test_peer_reported_departures import make_call_to
 
 #: In force so long after an upstream first named its limit, in seconds.
 CONTACT = 3
