--- a/tests/load/crowd.py
+++ b/tests/load/crowd.py
@@ -1,10 +1,10 @@
-"""A crowd of choosers before modelled engines, in virtual time.
+"""Simulation of many instances that choose among engines, in virtual time.
 
-Each engine is a :class:`cartdale.model.engine.EngineModel`: it reads prompts
-piece by piece between the tokens of its generations, and pushes the newest
-aside when its memory is full. Instances choose by news that are some time old,
-with the product's own choice. No network, no moves and no failures: what is
-measured is what placement alone does.
+Each engine is a :class:`cartdale.model.engine.EngineModel`: it reads prompts in
+chunks between the tokens of its generations, and preempts the newest when its
+memory is full. Instances choose by news of a given age, with the product's own
+choice. There is no network, no move and no failure: the simulation measures the
+effect of placement alone.
 """
 
 import heapq
@@ -22,18 +22,18 @@
 from cartdale.routes.types import EngineSpec, ServiceSpec
 from tests.load.deployments import LONG_TOKENS, Deployment, Kind
 
-#: Part of its target within which a prompt is to be read.
+#: Share of its target within which a prompt is to be read.
 _READING_SHARE = 0.6
-#: What outran its estimate is expected to make so much more of what it made.
+#: Expected growth, as a share of the tokens made, beyond an exceeded estimate.
 _OUTRUN_SHARE = 0.3
-#: The first seconds fill the engines.
+#: The first milliseconds fill the engines and are not counted.
 _WARM_UP = 6000
-#: Between looks for room of a request that waits, in ms.
-_LOOK_EVERY = 20
-#: Longest pause of a stream that is in time, in ms.
-_LONGEST_GAP = 180
-#: Parts of its credit that a late answer earns, and that a refusal costs.
-_LATE, _REFUSAL = 0.15, 0.5
+#: Between checks for capacity for waiting requests, in ms.
+_CHECK_INTERVAL = 20
+#: Maximum pause of a stream, in ms.
+_MAX_GAP = 180
+#: Shares of its credit that a late response earns, and that a refusal costs.
+_LATE_SHARE, _REFUSAL_SHARE = 0.15, 0.5
 
 
 @dataclass
@@ -49,7 +49,7 @@
     hint: int
 
     def rank(self) -> tuple[int, float]:
-        """Order the urgent first, then the oldest."""
+        """Rank by priority, then by arrival."""
         return self.kind.priority, self.arrived_at
 
 
@@ -73,7 +73,7 @@
     preempted: int = 0
 
     def load(self, at: float) -> Load:
-        """Return what it was at a moment, as its instance told it."""
+        """Return its load at a time, as its instance published it."""
         made = self._count_made(at)
         left = max(self.expected - made, int(made * _OUTRUN_SHARE))
         return Load(
@@ -98,9 +98,9 @@
         return self.first_at - self.arrived_at > self.kind.target
 
     def earn(self) -> float:
-        """Return its credit; a pause that is too long counts as late."""
-        if self.is_late() or self.longest_gap > _LONGEST_GAP:
-            return _LATE * self.kind.credit
+        """Return its credit; a pause beyond the maximum counts as late."""
+        if self.is_late() or self.longest_gap > _MAX_GAP:
+            return _LATE_SHARE * self.kind.credit
         return self.kind.credit
 
     def _count_made(self, at: float) -> int:
@@ -115,15 +115,15 @@
 
 @dataclass(frozen=True)
 class Outcome:
-    """Hold what became of all requests after the first seconds.
-
-    :param worth: credit earned of what was owed: a late answer earns a part
-        of it, a refusal costs a part.
-    :param late: part of each kind whose first token came after its target.
-    :param refused: part of each kind that was refused.
-    :param preempted: times that a generation was pushed aside, a second.
-    :param token_ms: mean time of a token of the long generations.
-    :param gaps: part of the long generations with a pause over 180 ms.
+    """Results of all requests after the warm-up.
+
+    :param worth: earned share of the total credit: a late response earns a
+        part of its credit, a refusal costs a part.
+    :param late: share of each kind whose first token came after its target.
+    :param refused: share of each kind that was refused.
+    :param preempted: preemptions per second.
+    :param token_ms: mean time per token of the long generations.
+    :param gaps: share of the long generations with a pause over 180 ms.
     """
 
     worth: float
@@ -135,10 +135,10 @@
 
 
 class Crowd:
-    """Play one deployment with one way to choose.
+    """Simulate one deployment with one choice function.
 
-    :param seed: makes arrivals, lengths and choices repeatable.
-    :param pick: chooses; the product's own choice when left out.
+    :param seed: makes arrivals, lengths and choices reproducible.
+    :param pick: choice function; defaults to the product's own.
     """
 
     def __init__(self, deployment: Deployment, seed: int, pick=choose) -> None:
@@ -181,15 +181,15 @@
         )
 
     def run(self) -> Outcome:
-        """Play the seconds and return what became of the requests."""
+        """Run the simulation and return its results."""
         end = self._deployment.seconds * 1000
         arrivals = self._draw_arrivals(end)
-        ticks = [(float(at), None) for at in range(0, end, _LOOK_EVERY)]
+        ticks = [(float(at), None) for at in range(0, end, _CHECK_INTERVAL)]
         timeline = sorted([*arrivals, *ticks], key=lambda each: each[0])
         for number, (at, kind) in enumerate(timeline):
             self._run_engines(at)
             if kind is None:
-                self._look_for_room(at)
+                self._place_waiting(at)
             else:
                 self._arrive(number, kind, at)
         self._run_engines(end)
@@ -209,8 +209,8 @@
         if not self._place(waiting, now):
             self._waiting.append(waiting)
 
-    def _look_for_room(self, now: float) -> None:
-        """Place who waits, and refuse who can't be in time any more."""
+    def _place_waiting(self, now: float) -> None:
+        """Place waiting requests, and refuse those that would be late."""
         left = []
         for waiting in sorted(self._waiting, key=Waiting.rank):
             until = waiting.kind.target - self._pace.read_time(waiting.prompt)
@@ -232,11 +232,11 @@
         return sorted(arrivals, key=lambda each: each[0])
 
     def _place(self, waiting: Waiting, now: float) -> bool:
-        """Send a request to an engine, if one has room by the news."""
+        """Send a request to an engine, if the news show capacity at one."""
         kind = waiting.kind
-        around = ChoiceContext(
+        context = ChoiceContext(
             self._spec,
-            self._look(waiting.domain, now),
+            self._view_loads(waiting.domain, now),
             str(waiting.domain),
             int(now),
             self._pace,
@@ -250,11 +250,11 @@
             waiting.prompt,
             int(_READING_SHARE * kind.target),
         )
-        chosen = self._pick(self._upstreams, needs, around, self._random)
+        chosen = self._pick(self._upstreams, needs, context, self._random)
         if chosen is None:
             return False
         engine = int(chosen.entry.upstream)
-        beside = around.loads_by_upstream.get(str(engine), Load()).reading
+        beside = context.loads_by_upstream.get(str(engine), Load()).reading
         number, prompt = waiting.number, waiting.prompt
         work = Work(
             number,
@@ -271,21 +271,21 @@
         urgency = -kind.priority if self._deployment.urgent_first else 0
         job = Job(str(number), prompt, waiting.length, urgency)
         self._engines[engine].accept(job)
-        self._follow_reading()
+        self._update_reading()
         if not self._stepping[engine]:
             self._stepping[engine] = True
             heapq.heappush(self._events, (now, engine, 0))
         return True
 
-    def _follow_reading(self) -> None:
-        """Average how much each engine reads, as instances do."""
+    def _update_reading(self) -> None:
+        """Average the reading share of each engine, as instances do."""
         reads = {
             str(each.engine) for each in self._active.values() if not each.made
         }
         for name, share in self._reading.items():
             self._reading[name] = share + 0.02 * ((name in reads) - share)
 
-    def _look(self, domain: int, now: float) -> Mapping[str, Load]:
+    def _view_loads(self, domain: int, now: float) -> Mapping[str, Load]:
         deployment = self._deployment
         own = now - self._random.uniform(*deployment.own_age)
         far = now - self._random.uniform(*deployment.far_age)
@@ -337,13 +337,13 @@
             _share(each.is_late() for each in counted if each.kind is kind)
             for kind in kinds
         )
-        turned_away = tuple(
+        refused_shares = tuple(
             sum(each.kind is kind for each in refused)
             / max(sum(each.kind is kind for each in (*counted, *refused)), 1)
             for kind in kinds
         )
         earned = sum(each.earn() for each in counted)
-        earned -= sum(_REFUSAL * each.kind.credit for each in refused)
+        earned -= sum(_REFUSAL_SHARE * each.kind.credit for each in refused)
         owed = sum(each.kind.credit for each in (*counted, *refused))
         long = [
             each
@@ -354,11 +354,11 @@
         return Outcome(
             earned / owed,
             late,
-            turned_away,
+            refused_shares,
             sum(each.preempted for each in counted)
             / (self._deployment.seconds - _WARM_UP / 1000),
             sum(spans) / max(len(spans), 1),
-            _share(each.longest_gap > _LONGEST_GAP for each in long),
+            _share(each.longest_gap > _MAX_GAP for each in long),
         )
 
     def _draw(self, mean: float, spread: float, most: int) -> int:
