--- a/tests/test_backoffs.py
+++ b/tests/test_backoffs.py
@@ -46,7 +46,7 @@
     whole,
 )
 from tests.test_fleet import make_entry, make_fleet
-from tests.test_heard_departures import make_call_to
+from tests.test_peer_reported_departures import make_call_to
 
 #: Requests sent before the rejection arrive in this part of a back-off.
 IN_FLIGHT_SECONDS = 0.5
