--- a/src/cartdale/fleet/store_follower.py
+++ b/src/cartdale/fleet/store_follower.py
@@ -1,7 +1,7 @@
-"""Keep the routing table and the fleet in step with the store.
+"""Keep the routing table and the fleet in sync with the store.
 
-One waiting watch covers all keys. After a failure, or when the store has
-forgotten what happened since, everything is read anew.
+One long-polling watch covers all keys. After a failure, or when the store no
+longer has the history since the last revision, all keys are read again.
 """
 
 from collections.abc import Callable
@@ -47,44 +47,46 @@
     WatchedStore,
 )
 
-#: How long the store holds a watch without a change, where nothing else is
-#: said. One that was lost is noticed soon after, and must be before this
-#: instance is held to its bounds again, three seconds after the trouble.
+#: Default time for which the store holds a watch without a change. A lost
+#: watch is detected soon after, which must happen before this instance's
+#: bounds apply again, three seconds after the fault.
 WATCH_FOR: Millis = 2 * SECOND_MS
-#: Pause after changes: many come together, such as the entries of engines
-#: that are taken away at once, and each answer to a watch is a priced call.
-_GATHER: Millis = 50
-#: An entry that goes within this time after an outage may come back.
-_OUTAGE_RECENT: Millis = 3 * SECOND_MS
-#: After the store came back from an older copy, who lives has written again
-#: within this time, and the entry of one who does not has lapsed: three times
-#: a second or so without a sign of life, and one for the way.
-_WRITTEN_AGAIN: Millis = 5 * SECOND_MS
-#: Routes that one log line names; a large change names none of the rest.
-_MOST_NAMED = 12
+#: Pause after changes: they often arrive in bursts, for example when several
+#: engines are removed at once, and each watch response is a billed call.
+_BATCH_WAIT: Millis = 50
+#: An entry removed within this time after an outage may reappear.
+_RECENT_OUTAGE: Millis = 3 * SECOND_MS
+#: Time after a restore of the store from an older copy within which all live
+#: writers have written again and the entries of the others have lapsed: three
+#: intervals of about a second without a sign of life, and one for transit.
+_REWRITE_WAIT: Millis = 5 * SECOND_MS
+#: Changed routes listed in one log line; any others are omitted.
+_MAX_LOGGED_ROUTES = 12
 #: The prefix of all keys.
-_EVERYTHING = ''
-#: Between reads of an instance that does not watch, and between its looks
-#: at whether it has to.
-_READ_EVERY: Millis = MINUTE_MS
-_LOOK_EVERY: Millis = 250
-#: The same once it hears nobody: what was told meanwhile is told for 3 s.
-_SILENT_READ_EVERY: Millis = SECOND_MS // 2
-#: First and longest pause between calls while the store fails.
-_PAUSE_SECONDS = 0.1
-_WATCHER_PAUSE = wait_random_exponential(_PAUSE_SECONDS, max=0.5)
-#: The same for an instance that hears of changes in news.
-_TOLD_PAUSE_SECONDS = 3
+_ALL_KEYS = ''
+#: Intervals at which an instance that does not watch reads all keys, and
+#: checks whether it has to read or watch.
+_READ_INTERVAL: Millis = MINUTE_MS
+_CHECK_INTERVAL: Millis = 250
+#: Read interval once no news arrives: a change missed meanwhile is published
+#: for only 3 s.
+_SILENT_READ_INTERVAL: Millis = SECOND_MS // 2
+#: Initial pause between calls while the store fails; the reads of a
+#: watcher back off exponentially with jitter, up to ``max``.
+_RETRY_PAUSE_SECONDS = 0.1
+_WATCHER_RETRY_WAIT = wait_random_exponential(_RETRY_PAUSE_SECONDS, max=0.5)
+#: Pause between calls of an instance that receives changes in news.
+_NEWS_RETRY_PAUSE_SECONDS = 3
 
 
 class StoreFollower:
-    """Follow the store.
+    """Read and watch the store, and apply its changes to the fleet.
 
-    :param translate: reads what is stored.
-    :param take_own: takes what instances wrote for each other.
-    :param watches: tells whether this instance is one of those that watch;
-        the others hear of changes in news, and read all once in a while.
-    :param hears_nobody: tells whether no news came of late.
+    :param translate: decodes a stored entry.
+    :param apply_own_key: applies a key that instances write for each other.
+    :param is_watcher: returns whether this instance watches the store; the
+        others receive changes in news and read all keys periodically.
+    :param is_news_silent: returns whether no news arrived recently.
     :param watch_for: how long the store holds a watch without a change.
     """
 
@@ -94,55 +96,55 @@
         fleet: Fleet,
         clock: Clock,
         translate: Translate,
-        take_own: Callable[[OwnKey], None],
-        watches: Callable[[], bool],
-        hears_nobody: Callable[[], bool],
+        apply_own_key: Callable[[OwnKey], None],
+        is_watcher: Callable[[], bool],
+        is_news_silent: Callable[[], bool],
         watch_for: Millis = WATCH_FOR,
     ) -> None:
         self._watch_for = watch_for
-        self._watches = watches
-        self._hears_nobody = hears_nobody
-        self._take_own = take_own
+        self._is_watcher = is_watcher
+        self._is_news_silent = is_news_silent
+        self._apply_own_key = apply_own_key
         self._store = store
         self._fleet = fleet
         self._clock = clock
         self._translate = translate
         self._failed_at: Millis | None = None
-        #: The configuration in force, as it is stored.
+        #: The configuration in force, in its stored form.
         self.raw_table = b''
         #: Whether the last call to the store failed.
         self.failing = False
         #: Set once a configuration is in force.
         self.configured = trio.Event()
-        #: Set once everything was read for the first time.
+        #: Set after the first complete read.
         self.synced = trio.Event()
-        #: Whether everything is to be read again soon.
-        self._outdated = False
+        #: Whether another complete read was requested.
+        self._read_requested = False
         #: The era of the last listing; ``None`` before the first.
         self._era: int | None = None
-        #: When to read all again after the store came back from an older copy;
-        #: 0 for not to.
-        self._confirm_at: Millis = 0
+        #: When to read all keys again after the store was restored from an
+        #: older copy; 0 if no such read is due.
+        self._reread_at: Millis = 0
 
     async def run(self) -> None:
-        """Follow the store, for ever."""
+        """Follow the store until cancelled."""
         while True:
             revision = await self._read_all()
             await self._watch(revision)
-            if not self._watches():
-                await self._rest()
+            if not self._is_watcher():
+                await self._wait_for_read()
 
     def read_again(self) -> None:
-        """Read everything soon, as something may have been missed.
+        """Request a complete read because a change may have been missed.
 
-        Before the first read there is nothing that could have been.
+        Does nothing before the first read: no change can have been missed yet.
         """
-        self._outdated = self.synced.is_set()
+        self._read_requested = self.synced.is_set()
 
     def adopt(self, written: TableWritten) -> None:
-        """Put a configuration in force unless it is older than the present.
+        """Put a configuration in force if it is newer than the current one.
 
-        :param written: from the store or from a peer.
+        :param written: configuration from the store or from a peer.
         """
         version = written.table.version
         before = self._fleet.table
@@ -157,65 +159,66 @@
             'configuration in force',
             version=version,
             changed=len(changed),
-            routes=' '.join(changed[:_MOST_NAMED]),
+            routes=' '.join(changed[:_MAX_LOGGED_ROUTES]),
         )
 
-    async def _rest(self) -> None:
-        """Wait until this instance has to watch or may have missed news."""
-        rested: Millis = 0
-        until = _READ_EVERY
-        while rested < until and not self._must_read():
-            await trio.sleep(as_seconds(_LOOK_EVERY))
-            rested += _LOOK_EVERY
-            if self._hears_nobody():
-                until = min(until, rested + _SILENT_READ_EVERY)
+    async def _wait_for_read(self) -> None:
+        """Wait until this instance has to watch or to read all keys again."""
+        waited: Millis = 0
+        until = _READ_INTERVAL
+        while waited < until and not self._must_read():
+            await trio.sleep(as_seconds(_CHECK_INTERVAL))
+            waited += _CHECK_INTERVAL
+            if self._is_news_silent():
+                until = min(until, waited + _SILENT_READ_INTERVAL)
 
     async def _read_all(self) -> int:
-        """Read everything; return the revision to watch from."""
-        self._outdated = False
-        if self._must_confirm():
-            self._confirm_at = 0
-        listing = await self._read_until_answered()
-        self._take_all(listing)
+        """Read and apply all keys; return the revision to watch from."""
+        self._read_requested = False
+        if self._is_reread_due():
+            self._reread_at = 0
+        listing = await self._read_with_retries()
+        self._apply_listing(listing)
         self.failing = False
         return listing.store_revision
 
-    async def _read_until_answered(self) -> Listing:
-        """Read everything until the store answers."""
+    async def _read_with_retries(self) -> Listing:
+        """Read all keys, retrying until the store responds."""
         retrying = AsyncRetrying(
             sleep=trio.sleep,
             retry=retry_if_result(_is_failure),
             wait=self._choose_pause,
         )
-        answer: Result[Listing, StoreFailure] = await retrying(self._read_pages)
-        return answer.unwrap()
+        result: Result[Listing, StoreFailure] = await retrying(self._read_pages)
+        return result.unwrap()
 
     def _choose_pause(self, attempts: RetryCallState) -> float:
-        """Return how many seconds to wait before the next try.
+        """Return the seconds to wait before the next attempt.
 
-        Those whom others tell of changes leave the store in peace.
+        Instances that receive changes in news use a longer pause, to keep load
+        off the store.
         """
-        if not self._watches():
-            return _TOLD_PAUSE_SECONDS
-        return _WATCHER_PAUSE(attempts)
+        if not self._is_watcher():
+            return _NEWS_RETRY_PAUSE_SECONDS
+        return _WATCHER_RETRY_WAIT(attempts)
 
     async def _read_pages(self) -> Result[Listing, StoreFailure]:
         entries: list[Entry] = []
         start = ''
         revision = 0
         while True:
-            answer = await self._store.fetch(_EVERYTHING, start)
-            if not isinstance(answer, Success):
-                self._note_failure(answer.failure())
-                return answer
-            page = answer.unwrap()
+            result = await self._store.fetch(_ALL_KEYS, start)
+            if not isinstance(result, Success):
+                self._record_failure(result.failure())
+                return result
+            page = result.unwrap()
             entries.extend(page.entries)
             revision = revision or page.store_revision
             if not page.more or not page.entries:
                 return Success(Listing(tuple(entries), revision, era=page.era))
             start = page.entries[-1].key
 
-    def _take_all(self, listing: Listing) -> None:
+    def _apply_listing(self, listing: Listing) -> None:
         listed: list[UpstreamEntry] = []
         evacuations: list[Evacuation] = []
         for entry in listing.entries:
@@ -227,13 +230,15 @@
                 case None:
                     continue
                 case Unreadable() as unreadable:
-                    self._take(unreadable)
-                    listed.extend(self._keep(unreadable.upstream))
+                    self._apply(unreadable)
+                    listed.extend(
+                        self._find_previous_entry(unreadable.upstream)
+                    )
                 case change:
-                    self._take(change)
-        restored = self._note_era(listing.era)
+                    self._apply(change)
+        restored = self._update_era(listing.era)
         after_outage = self._had_outage()
-        # Evacuations first: what else is told may wake those who wait.
+        # Evacuations first: the entries may wake waiting requests.
         self._fleet.dispatch(
             EvacuationsListed(
                 tuple(evacuations), listing.store_revision, restored
@@ -244,69 +249,75 @@
         )
         self.synced.set()
 
-    def _note_era(self, era: int) -> bool:
-        """Tell whether the store came back from an older copy of late.
+    def _update_era(self, era: int) -> bool:
+        """Return whether the store was recently restored from an older copy.
 
-        What it lists then is believed only as far as nothing is lost by it:
-        evacuations that it lacks hold on, and upstreams that had left stay so.
-        It is read once more when all that live have written again; whatever
-        else has it read before proves no more.
+        A listing from that time must not undo known state: evacuations that it
+        lacks remain in effect, and upstreams that had left stay that way. All
+        keys are read once more when all live writers have written again; a
+        read before then, for any other reason, is no more reliable.
         """
         now = self._clock.now()
         if self._era is not None and era > self._era:
             self._failed_at = now
-            self._confirm_at = now + _WRITTEN_AGAIN
+            self._reread_at = now + _REWRITE_WAIT
         self._era = max(era, self._era or 0)
-        return now < self._confirm_at
+        return now < self._reread_at
 
-    def _keep(self, name: str) -> tuple[UpstreamEntry, ...]:
-        """Return the entry that was in force before an unreadable one."""
+    def _find_previous_entry(self, name: str) -> tuple[UpstreamEntry, ...]:
+        """Return the entry in force before an unreadable one replaced it."""
         known = self._fleet.find(name)
         if known is None or known.lifecycle is Lifecycle.LEAVING:
             return ()
         return (known.entry,)
 
     async def _watch(self, revision: int) -> None:
-        """Follow changes until the store fails or has forgotten some."""
-        while self._watches() and not self._must_confirm():
-            answer = await self._store.watch(
-                _EVERYTHING, revision, self._watch_for
+        """Watch the store and apply its changes.
+
+        Returns when the store fails or lacks the history, when a read after a
+        restore is due, or when this instance no longer has to watch.
+        """
+        while self._is_watcher() and not self._is_reread_due():
+            result = await self._store.watch(
+                _ALL_KEYS, revision, self._watch_for
             )
-            match answer:
+            match result:
                 case Success(changes):
-                    revision = await self._take_changes(changes, revision)
+                    revision = await self._apply_changes(changes, revision)
                 case Failure(HistoryLost()):
                     logger.info('store forgot history', revision=revision)
                     return
                 case Failure(failure):
-                    self._note_failure(failure)
-                    await trio.sleep(_PAUSE_SECONDS)
+                    self._record_failure(failure)
+                    await trio.sleep(_RETRY_PAUSE_SECONDS)
                     return
 
     def _must_read(self) -> bool:
-        """Tell whether the store is to be read though news tell of changes."""
-        return self._watches() or self._outdated or self._must_confirm()
+        """Return whether to stop relying on news and read the store."""
+        return (
+            self._is_watcher() or self._read_requested or self._is_reread_due()
+        )
 
-    def _must_confirm(self) -> bool:
-        """Tell whether it is time to read again what was written again."""
-        return 0 < self._confirm_at <= self._clock.now()
+    def _is_reread_due(self) -> bool:
+        """Return whether the read that follows a restore is due."""
+        return 0 < self._reread_at <= self._clock.now()
 
-    async def _take_changes(self, changes: Changes, revision: int) -> int:
-        """Take what changed; return the revision to watch from.
+    async def _apply_changes(self, changes: Changes, revision: int) -> int:
+        """Apply changes; return the revision to watch from.
 
-        An answer without changes does not move it on: whatever the store
-        counted meanwhile would be passed over if it was a change after all.
+        A response without changes does not advance the revision: if one of the
+        revisions counted meanwhile was a change after all, it would be skipped.
         """
         if not changes.changes:
             return revision
         for stored in changes.changes:
             change = self._translate(stored)
             if change is not None:
-                self._take(change)
-        await trio.sleep(as_seconds(_GATHER))
+                self._apply(change)
+        await trio.sleep(as_seconds(_BATCH_WAIT))
         return max(revision, changes.store_revision)
 
-    def _take(self, change: StoredChange) -> None:
+    def _apply(self, change: StoredChange) -> None:
         match change:
             case TableWritten():
                 self.adopt(change)
@@ -318,11 +329,11 @@
             case EvacuationWritten(evacuation=evacuation):
                 self._fleet.dispatch(EvacuationsReceived((evacuation,)))
             case OwnKey():
-                self._take_own(change)
+                self._apply_own_key(change)
             case Unreadable(detail=detail):
                 logger.error('stored value unreadable', detail=detail)
 
-    def _note_failure(self, failure: StoreFailure) -> None:
+    def _record_failure(self, failure: StoreFailure) -> None:
         if not self.failing:
             logger.warning(
                 'store lost', **format_log_fields('failure', failure)
@@ -331,11 +342,11 @@
         self.failing = True
 
     def _had_outage(self) -> bool:
-        """Tell whether the store was away until now or within seconds."""
+        """Return whether the store is failing or failed within seconds."""
         if self.failing or self._failed_at is None:
             return self.failing
-        return self._clock.now() - self._failed_at <= _OUTAGE_RECENT
+        return self._clock.now() - self._failed_at <= _RECENT_OUTAGE
 
 
-def _is_failure(answer: Result[Listing, StoreFailure]) -> bool:
-    return not isinstance(answer, Success)
+def _is_failure(result: Result[Listing, StoreFailure]) -> bool:
+    return not isinstance(result, Success)
