--- a/src/cartdale/fleet/cold.py
+++ b/src/cartdale/fleet/cold.py
@@ -1,10 +1,10 @@
-"""Bound what all instances together send to an upstream that is cold.
+"""Limit the request rate of all instances together to a cold upstream.
 
-A cold upstream bears a few requests a second and falls over well above that.
-The bound is divided beforehand, first among the failure domains that the
-settings name, then among the instances that are listed in each. Each sends no
-more than its part in any second; who has none sends nothing there until it is
-warm.
+A cold upstream withstands a few requests per second and fails well above that
+rate. The bound is divided in advance, first among the failure domains in the
+settings, then among the instances listed in each. No instance exceeds its share
+in any second; an instance without a share sends nothing to the upstream until
+it is warm.
 """
 
 from collections import deque
@@ -14,47 +14,53 @@
 from cartdale.fleet.division import Participants, divide
 from cartdale.fleet.reservations import Reservations
 
-#: Part of the bound that is divided. The rest is for instances whose lists of
-#: each other differ while some join or go, and for requests that were chosen
-#: a moment before they are sent.
+#: Share of the bound that is divided. The rest is for instances whose lists
+#: of each other differ while some join or leave, and for requests that were
+#: placed a moment before they are sent.
 DIVIDED_SHARE = 0.6
-#: Over this window sends are counted.
+#: Sliding window in which sent requests are counted.
 WINDOW: Millis = SECOND_MS
 
 
 @dataclass(frozen=True, slots=True)
 class ColdBound:
-    """Bound the requests that a cold upstream gets in any second.
+    """Bound the requests that a cold upstream receives in any second.
 
-    :param overage: multiplies what the upstream bears.
-    :param slack: requests on top.
+    :param overage: factor applied to the rate that the upstream withstands.
+    :param slack: requests per second added to the product.
     """
 
     overage: float = 1
     slack: float = 0
 
     def count(self, rate: float) -> int:
-        """Return the most requests a second, from all instances."""
+        """Return the maximum requests per second from all instances together.
+
+        :param rate: requests per second that the upstream withstands.
+        """
         return int(rate * self.overage + self.slack)
 
 
-def find_quota(participants: Participants, upstream: str, most: int) -> int:
-    """Return how many requests a second an instance may send.
+def find_quota(
+    participants: Participants, upstream: str, max_per_second: int
+) -> int:
+    """Return how many requests per second this instance may send.
 
-    :param most: requests a second that all of them may send together.
+    :param max_per_second: maximum requests per second from all instances
+        together.
     """
-    divided = int(DIVIDED_SHARE * most)
-    by_domain = divide(participants.domains, upstream, divided)
-    of_domain = by_domain.get(participants.domain, 0)
-    return divide(participants.domain_peers, upstream, of_domain).get(
+    total = int(DIVIDED_SHARE * max_per_second)
+    by_domain = divide(participants.domains, upstream, total)
+    domain_quota = by_domain.get(participants.domain, 0)
+    return divide(participants.domain_peers, upstream, domain_quota).get(
         participants.own, 0
     )
 
 
 class ColdGate:
-    """Count what this instance sends to cold upstreams.
+    """Limit the requests that this instance sends to cold upstreams.
 
-    Until the sharers are known it lets nothing pass.
+    No request is allowed until the participants are known.
     """
 
     def __init__(self) -> None:
@@ -62,12 +68,12 @@
         self._participants: Participants | None = None
         self._quotas: dict[tuple[str, int], int] = {}
         self._sent_by_upstream: dict[str, deque[Millis]] = {}
-        self._kept_by_upstream: dict[str, Reservations] = {}
-        #: Requests sent to cold upstreams since the start.
+        self._reservations_by_upstream: dict[str, Reservations] = {}
+        #: Number of requests sent to cold upstreams since startup.
         self.sent = 0
 
     def divide_among(self, participants: Participants) -> None:
-        """Take the names of those among whom the bound is divided."""
+        """Set the participants among which the bound is divided."""
         if participants != self._participants:
             self._participants = participants
             self._quotas.clear()
@@ -75,54 +81,58 @@
     def allows(self, upstream: str, rate: float, now: Millis) -> bool:
         """Tell whether this instance may send a request to a cold upstream.
 
-        :param rate: requests a second that it bears; 0 for no bound.
+        :param rate: requests per second that the upstream withstands; 0 for no
+            bound.
         """
         if not rate:
             return True
         if self._participants is None:
             return False
-        most = self.bound.count(rate)
-        quota = self._quotas.get((upstream, most))
+        max_per_second = self.bound.count(rate)
+        quota = self._quotas.get((upstream, max_per_second))
         if quota is None:
-            quota = find_quota(self._participants, upstream, most)
-            self._quotas[(upstream, most)] = quota
-        taken = self._count_sent(upstream, now) + self._count_kept(
+            quota = find_quota(self._participants, upstream, max_per_second)
+            self._quotas[(upstream, max_per_second)] = quota
+        used = self._count_sent(upstream, now) + self._count_reserved(
             upstream, now
         )
-        return taken < quota
+        return used < quota
 
     def reserve(self, upstream: str, now: Millis) -> None:
-        """Keep a place for a request that was placed at a cold upstream."""
-        kept = self._kept_by_upstream.setdefault(upstream, Reservations())
-        kept.add(now)
+        """Reserve capacity for a request placed at a cold upstream."""
+        reservations = self._reservations_by_upstream.setdefault(
+            upstream, Reservations()
+        )
+        reservations.add(now)
 
     def cancel(self, upstream: str, now: Millis) -> None:
-        """Take back the place of a request that is sent now, or held back.
+        """Release the reservation of a request that is sent or withheld.
 
-        It is counted as it is sent: connections take from a millisecond to
-        seconds, and what was placed over seconds may come up at one moment.
+        The request is counted when it is sent: establishing a connection takes
+        from a millisecond to seconds, so that requests placed over several
+        seconds may be sent at the same moment.
         """
-        kept = self._kept_by_upstream.get(upstream)
-        if kept is not None:
-            kept.drop(now)
+        reservations = self._reservations_by_upstream.get(upstream)
+        if reservations is not None:
+            reservations.drop(now)
 
     def note(self, upstream: str, now: Millis) -> None:
-        """Count a request that is sent to a cold upstream."""
+        """Count a request sent to a cold upstream."""
         self._sent_by_upstream.setdefault(upstream, deque()).append(now)
         self.sent += 1
 
     def forget(self, now: Millis) -> None:
-        """Drop what is too old to count."""
+        """Drop expired counts of sent requests and expired reservations."""
         for upstream in list(self._sent_by_upstream):
             if not self._count_sent(upstream, now):
                 self._sent_by_upstream.pop(upstream)
-        for name, kept in list(self._kept_by_upstream.items()):
-            if not kept.count(now):
-                self._kept_by_upstream.pop(name)
+        for name, reservations in list(self._reservations_by_upstream.items()):
+            if not reservations.count(now):
+                self._reservations_by_upstream.pop(name)
 
-    def _count_kept(self, upstream: str, now: Millis) -> int:
-        kept = self._kept_by_upstream.get(upstream)
-        return kept.count(now) if kept else 0
+    def _count_reserved(self, upstream: str, now: Millis) -> int:
+        reservations = self._reservations_by_upstream.get(upstream)
+        return reservations.count(now) if reservations else 0
 
     def _count_sent(self, upstream: str, now: Millis) -> int:
         sent = self._sent_by_upstream.get(upstream)
--- a/src/cartdale/fleet/limit_history.py
+++ b/src/cartdale/fleet/limit_history.py
@@ -1,68 +1,72 @@
-"""Remember which rate limits were named in answers to this instance."""
+"""Record the rate limits advertised in responses to this instance."""
 
 from dataclasses import dataclass
 
 from cartdale.clock import SECOND_MS, Millis
 from cartdale.fleet.rate_limits import RateLimit, merge_limits
 
-#: Peers are told of what was named for so long.
-_TOLD: Millis = 3 * SECOND_MS
+#: How long an advertised limit, or its end, is published to peers.
+_PUBLISHED_FOR: Millis = 3 * SECOND_MS
 
 
 @dataclass(frozen=True, slots=True)
-class _Named:
-    """Hold what was named last, and since when it is the same."""
+class _AdvertisedLimit:
+    """Hold the limit advertised last and since when it is unchanged."""
 
     limit: RateLimit
     since: Millis
 
-    def is_told(self, now: Millis) -> bool:
-        """Tell whether peers should hear of it.
+    def is_published(self, now: Millis) -> bool:
+        """Tell whether the limit, or its end, is published to peers.
 
-        Of a limit for as long as it is named, of its end for a while: the
-        first answer without a limit may be asked for before the last one that
-        named it came to a peer, which later answers make up for.
+        A limit is published while it is advertised. Its end is published for a
+        while: the request of the first response without the limit may have been
+        sent before the last response with it reached a peer, which then cannot
+        order the two; later responses settle it.
         """
         newest = self.limit.answered_at if self.limit.limited else self.since
-        return now - newest <= _TOLD
+        return now - newest <= _PUBLISHED_FOR
 
 
 class LimitHistory:
-    """Hold what was named of late, to be told to peers.
+    """Hold the recently advertised limits, for publication to peers.
 
-    What peers told is left out: all would tell it to all for ever.
+    Limits reported by peers are left out: instances would otherwise republish
+    them to each other forever.
     """
 
     def __init__(self) -> None:
-        self._named_by_upstream: dict[str, _Named] = {}
-        #: Counts the limits that changed.
+        self._advertised_by_upstream: dict[str, _AdvertisedLimit] = {}
+        #: Incremented whenever a limit is added or changes.
         self.version = 0
 
     def __contains__(self, upstream: str) -> bool:
-        """Tell whether peers are told of an upstream's limit, or its end."""
-        return upstream in self._named_by_upstream
+        """Tell whether an upstream's limit, or its end, is published."""
+        return upstream in self._advertised_by_upstream
 
-    def note(self, upstream: str, named: RateLimit, now: Millis) -> None:
-        """Take what an upstream named."""
-        known = self._named_by_upstream.get(upstream)
+    def note(self, upstream: str, advertised: RateLimit, now: Millis) -> None:
+        """Record the limit that an upstream advertised."""
+        known = self._advertised_by_upstream.get(upstream)
         if known is None:
             self.version += 1
-            self._named_by_upstream[upstream] = _Named(named, now)
+            self._advertised_by_upstream[upstream] = _AdvertisedLimit(
+                advertised, now
+            )
             return
-        limit = merge_limits(known.limit, named)
+        limit = merge_limits(known.limit, advertised)
         changed = limit.per_second != known.limit.per_second
         self.version += changed
         since = now if changed else known.since
-        self._named_by_upstream[upstream] = _Named(limit, since)
+        self._advertised_by_upstream[upstream] = _AdvertisedLimit(limit, since)
 
     def list_recent(self, now: Millis) -> dict[str, RateLimit]:
-        """Return what was named of late, and forget the rest."""
-        self._named_by_upstream = {
-            upstream: named
-            for upstream, named in self._named_by_upstream.items()
-            if named.is_told(now)
+        """Return the recently advertised limits and drop all others."""
+        self._advertised_by_upstream = {
+            upstream: advertised
+            for upstream, advertised in self._advertised_by_upstream.items()
+            if advertised.is_published(now)
         }
         return {
-            upstream: named.limit
-            for upstream, named in self._named_by_upstream.items()
+            upstream: advertised.limit
+            for upstream, advertised in self._advertised_by_upstream.items()
         }
