--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Fleet: lifecycles, health, loads and the choice of an upstream."""
+"""Upstream lifecycles, health, loads and the choice of an upstream."""
 
 from random import Random
 
@@ -63,13 +63,13 @@
 def pick(
     state: FleetState, needs: RequestNeeds, loads=None, now=0, domain='west'
 ):
-    around = ChoiceContext(SPEC, loads or {}, domain, now)
+    context = ChoiceContext(SPEC, loads or {}, domain, now)
     candidates = list_candidates(state, needs)
-    chosen = choose(candidates, needs, around, Random(1))
+    chosen = choose(candidates, needs, context, Random(1))
     return chosen.entry.upstream if chosen else None
 
 
-def test_draining_entry_begins_to_leave_once() -> None:
+def test_draining_entry_begins_leaving_once() -> None:
     state = make_fleet('a')
     drained = EntryWritten(make_entry('a', lifecycle=Lifecycle.LEAVING))
     state, actions = decide(state, drained, 5)
@@ -78,9 +78,9 @@
     assert decide(state, EntryRemoved('a'), 7)[1] == ()
 
 
-def test_upstream_that_said_it_leaves_never_takes_work_again() -> None:
-    said = EntryWritten(make_entry('a', lifecycle=Lifecycle.LEAVING))
-    state, _ = decide(make_fleet('a'), said, 5)
+def test_upstream_that_announced_leaving_never_gets_work_again() -> None:
+    announced = EntryWritten(make_entry('a', lifecycle=Lifecycle.LEAVING))
+    state, _ = decide(make_fleet('a'), announced, 5)
     state, _ = decide(state, EntryWritten(make_entry('a')), 6)
     assert pick(state, RequestNeeds('s')) is None
     state, _ = decide(state, EntryRemoved('a'), 7)
@@ -88,7 +88,7 @@
     assert pick(state, RequestNeeds('s')) is None
 
 
-def test_missing_upstream_takes_no_work_until_its_entry_is_back() -> None:
+def test_removed_upstream_gets_no_work_until_its_entry_returns() -> None:
     state, _ = decide(make_fleet('a'), EntryRemoved('a'), 5)
     assert pick(state, RequestNeeds('s')) is None
     state, actions = decide(state, EntryWritten(make_entry('a')), 900)
@@ -96,21 +96,21 @@
     assert pick(state, RequestNeeds('s')) == 'a'
 
 
-def test_peers_that_are_behind_neither_take_away_nor_bring_back() -> None:
-    back = EntryWritten(make_entry('a'), from_peer=True)
-    gone = EntryRemoved('a', from_peer=True)
+def test_outdated_peer_reports_neither_remove_nor_restore_an_upstream() -> None:
+    written = EntryWritten(make_entry('a'), from_peer=True)
+    removed = EntryRemoved('a', from_peer=True)
     state, _ = decide(make_fleet('a'), EntryRemoved('a'), 5)
-    early, _ = decide(state, back, 4 + PEER_REPORT_IGNORED_MS)
+    early, _ = decide(state, written, 4 + PEER_REPORT_IGNORED_MS)
     assert pick(early, RequestNeeds('s')) is None
-    state, _ = decide(state, back, 5 + PEER_REPORT_IGNORED_MS)
+    state, _ = decide(state, written, 5 + PEER_REPORT_IGNORED_MS)
     assert pick(state, RequestNeeds('s')) == 'a'
-    state, _ = decide(state, gone, 6 + PEER_REPORT_IGNORED_MS)
+    state, _ = decide(state, removed, 6 + PEER_REPORT_IGNORED_MS)
     assert pick(state, RequestNeeds('s')) == 'a'
-    state, _ = decide(state, gone, 5 + 2 * PEER_REPORT_IGNORED_MS)
+    state, _ = decide(state, removed, 5 + 2 * PEER_REPORT_IGNORED_MS)
     assert pick(state, RequestNeeds('s')) is None
 
 
-def test_entry_removed_in_an_outage_lapses_and_may_come_back() -> None:
+def test_entry_removed_in_an_outage_lapses_and_may_return() -> None:
     state, actions = decide(make_fleet('a'), EntryRemoved('a', True), 5)
     assert not actions
     assert pick(state, RequestNeeds('s')) == 'a'
@@ -118,7 +118,7 @@
     assert back.upstreams_by_id['a'].lifecycle is Lifecycle.LIVE
 
 
-def test_lapsed_entry_that_stays_away_leaves() -> None:
+def test_lapsed_entry_that_does_not_return_leaves() -> None:
     state, _ = decide(make_fleet('a'), EntryRemoved('a', True), 5)
     early, actions = decide(state, TimePassed(), 4 + LAPSED_KEPT_MS)
     assert not actions
@@ -126,7 +126,7 @@
     assert actions == (BeganLeaving('a'),)
 
 
-def test_list_without_an_entry_removes_it() -> None:
+def test_listing_without_an_entry_removes_it() -> None:
     state, actions = decide(make_fleet('a', 'b'), EntriesListed(()), 5)
     assert set(actions) == {BeganLeaving('a'), BeganLeaving('b')}
     _, vanished = decide(state, TimePassed(), 5 + LEAVING_KEPT_MS)
@@ -173,7 +173,7 @@
         (Load(runs=2, tokens=10, reading=5000), True),
     ],
 )
-def test_room_is_memory_slots_and_reading(load: Load, fits: bool) -> None:
+def test_capacity_is_memory_slots_and_reading(load: Load, fits: bool) -> None:
     needs = RequestNeeds('s', 1000, 500, reads=1000, read_within=1000)
     chosen = pick(make_fleet('a'), needs, {'a': load})
     assert (chosen == 'a') is fits
@@ -183,7 +183,7 @@
     assert pick(make_fleet('a'), RequestNeeds('s', 9800, 500)) == 'a'
 
 
-def test_least_filled_engine_is_chosen_and_near_ones_first() -> None:
+def test_least_filled_engine_is_chosen_and_own_domain_first() -> None:
     loads = {'a': Load(runs=1, tokens=4000), 'b': Load(runs=1, tokens=1000)}
     assert pick(make_fleet('a', 'b'), RequestNeeds('s', 100, 10), loads) == 'b'
     far = make_fleet('a')
@@ -203,7 +203,7 @@
     assert run.load() == Load(1, 200, 30, 0, long=1)
 
 
-def test_loads_of_peers_count_until_they_are_old() -> None:
+def test_peer_loads_count_until_they_expire() -> None:
     table = LoadTable()
     run = Assignment('a', prompt=100, expected=0)
     run.backup = 'b'
@@ -219,7 +219,7 @@
     assert not table.own()
 
 
-def test_move_asks_only_for_the_memory_held_now() -> None:
+def test_move_needs_only_the_memory_held_now() -> None:
     loads = {'a': Load(runs=1, tokens=6000, growth=3000, reading=9000)}
     needs = RequestNeeds('s', 3500, 500, reads=3500, read_within=1000)
     assert pick(make_fleet('a'), needs, loads) is None
@@ -227,7 +227,7 @@
     assert pick(make_fleet('a'), moving, loads) == 'a'
 
 
-def test_plain_requests_are_not_worth_telling() -> None:
+def test_plain_requests_are_not_published_to_peers() -> None:
     table = LoadTable()
     plain = Assignment('a', prompt=0, expected=0)
     table.assign(plain)
@@ -239,7 +239,7 @@
     assert table.own(shared=True)['a'].runs == 1
 
 
-def test_instances_with_the_same_news_choose_apart() -> None:
+def test_instances_with_the_same_news_choose_different_upstreams() -> None:
     names = [f'u{number}' for number in range(23)]
     state = make_fleet(*names)
     loads = {
@@ -247,15 +247,15 @@
         for number, name in enumerate(names)
     }
     needs = RequestNeeds('s', prompt=100)
-    around = ChoiceContext(SPEC, loads, 'west', 0)
+    context = ChoiceContext(SPEC, loads, 'west', 0)
     chosen = {
-        choose(list_candidates(state, needs), needs, around, Random(seed))
+        choose(list_candidates(state, needs), needs, context, Random(seed))
         for seed in range(20)
     }
     assert len(chosen) > 5
 
 
-def test_the_only_one_with_room_is_found_among_many() -> None:
+def test_only_upstream_with_capacity_is_found_among_many() -> None:
     names = [f'u{number}' for number in range(23)]
     state = make_fleet(*names)
     full = Load(runs=4, tokens=10)
@@ -264,7 +264,7 @@
     assert pick(state, RequestNeeds('s', prompt=100), loads) == 'u22'
 
 
-def test_upstream_that_others_can_not_reach_is_avoided_for_a_while() -> None:
+def test_upstream_reported_unreachable_by_a_peer_is_avoided_briefly() -> None:
     state = make_fleet('a', 'b')
     needs = RequestNeeds('s')
     loads = {'b': Load(runs=3)}
@@ -275,7 +275,7 @@
     assert state.upstreams_by_id['a'].unreachable_until == 0
 
 
-def test_success_ends_the_avoidance_that_others_told() -> None:
+def test_success_ends_the_avoidance_reported_by_peers() -> None:
     state, _ = decide(make_fleet('a'), ReportedUnreachable('a'), 0)
     state, _ = decide(state, RequestEnded('a', good=True), 10)
     assert state.upstreams_by_id['a'].avoided_until == 0
