--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -1,4 +1,7 @@
-"""Evacuation: nothing new goes to a failure domain that is to be emptied."""
+"""An evacuated failure domain gets no new requests or backups.
+
+Stopped generations may still resume there for a limited time.
+"""
 
 from itertools import permutations
 from random import Random
@@ -67,41 +70,41 @@
 ENTRY_VALUE = encode_json(describe_upstream('s', 'a:1'))
 
 
-def make_state(*told: Evacuation, now: int = 0) -> FleetState:
+def make_state(*evacuations: Evacuation, now: int = 0) -> FleetState:
     entries = (
         make_entry('a', failure_domain='west'),
         make_entry('b', failure_domain='east'),
     )
     state, _ = decide(FleetState(), EntriesListed(entries), now)
-    return decide(state, EvacuationsReceived(told), now)[0]
+    return decide(state, EvacuationsReceived(evacuations), now)[0]
 
 
 def list_names(state: FleetState) -> list[str]:
     return [each.entry.upstream for each in list_candidates(state, NEED)]
 
 
-def test_evacuated_domain_takes_nothing_new() -> None:
+def test_evacuated_domain_gets_no_new_requests() -> None:
     assert list_names(make_state()) == ['a', 'b']
     assert list_names(make_state(BEGUN)) == ['b']
     assert list_names(make_state(BEGUN, ENDED)) == ['a', 'b']
 
 
-def test_second_domain_is_evacuated_beside_the_first() -> None:
+def test_two_domains_are_evacuated_at_the_same_time() -> None:
     state = make_state(BEGUN, Evacuation('east', 8))
     assert not list_names(state)
     assert is_closed(state, NEED)
 
 
 @pytest.mark.parametrize('order', list(permutations((BEGUN, ENDED, AGAIN))))
-def test_older_view_never_undoes_a_newer_one(order) -> None:
+def test_older_revision_never_overrides_a_newer_one(order) -> None:
     statuses = {}
-    for told in order:
-        statuses = merge(statuses, (told,), 0)
+    for evacuation in order:
+        statuses = merge(statuses, (evacuation,), 0)
     assert is_evacuated(statuses, 'west')
     assert statuses['west'].evacuation == AGAIN
 
 
-def test_views_that_meet_in_any_order_agree() -> None:
+def test_merges_in_any_order_give_the_same_result() -> None:
     generator = Random(5)
     changes = [
         Evacuation(generator.choice('xyz'), revision, bool(revision % 2))
@@ -109,10 +112,10 @@
     ]
     views = []
     for _ in range(50):
-        told = changes.copy()
-        generator.shuffle(told)
+        shuffled = changes.copy()
+        generator.shuffle(shuffled)
         statuses = {}
-        for change in told:
+        for change in shuffled:
             statuses = merge(statuses, (change,), 0)
         views.append(
             {name: known.evacuation for name, known in statuses.items()}
@@ -120,7 +123,7 @@
     assert all(view == views[0] for view in views)
 
 
-def test_changes_are_told_once() -> None:
+def test_changes_are_reported_once() -> None:
     state = make_state()
     state, began = decide(state, EvacuationsReceived((BEGUN,)), 5)
     assert began == (BeganEvacuating('west', 7),)
@@ -135,7 +138,7 @@
     state = make_state(BEGUN)
     state, _ = decide(state, EvacuationsListed((), 8), 5)
     assert list_names(state) == ['a', 'b']
-    # A peer that was told before the end does not bring it back.
+    # A peer that has not yet received the end does not restart it.
     state, _ = decide(state, EvacuationsReceived((BEGUN,)), 6)
     assert list_names(state) == ['a', 'b']
 
@@ -145,13 +148,13 @@
     assert list_names(state) == ['b']
 
 
-def test_evacuation_that_came_and_went_unseen_leaves_nothing() -> None:
+def test_evacuation_that_ended_unobserved_has_no_effect() -> None:
     state, actions = decide(make_state(), EvacuationsListed((), 20), 5)
     assert not actions
     assert list_names(state) == ['a', 'b']
 
 
-def make_fleet(*told: Evacuation, clock=None) -> Fleet:
+def make_fleet(*evacuations: Evacuation, clock=None) -> Fleet:
     fleet = Fleet(clock or VirtualClock(), 'west', 1)
     fleet.table = RoutingTable(version=1, services_by_name={'s': SPEC})
     fleet.dispatch(
@@ -163,12 +166,12 @@
             )
         )
     )
-    fleet.dispatch(EvacuationsReceived(told))
+    fleet.dispatch(EvacuationsReceived(evacuations))
     return fleet
 
 
 @pytest.mark.parametrize('seed', range(5))
-def test_targets_and_backups_lie_elsewhere(seed: int) -> None:
+def test_targets_and_backups_avoid_the_evacuated_domain(seed: int) -> None:
     fleet = make_fleet(BEGUN)
     fleet._generator = Random(seed)
     routed = make_routed(900)
@@ -179,7 +182,7 @@
     assert backup is None or backup.upstream == 'c'
 
 
-def test_stopped_generation_goes_on_there_only_for_a_moment() -> None:
+def test_stopped_generation_may_resume_there_for_a_limited_time() -> None:
     clock = VirtualClock()
     fleet = make_fleet(clock=clock)
     assert fleet.may_finish_move(SOURCE)
@@ -188,12 +191,12 @@
     assert fleet.may_finish_move(SOURCE)
     clock.advance(1)
     assert not fleet.may_finish_move(SOURCE)
-    # What comes later does not begin the moment again.
+    # A later evacuation does not restart the time limit.
     fleet.dispatch(EvacuationsReceived((Evacuation('west', 30),)))
     assert not fleet.may_finish_move(SOURCE)
 
 
-async def test_service_that_is_all_evacuated_refuses_at_once(
+async def test_service_evacuated_in_all_domains_refuses_at_once(
     autojump_clock,
 ) -> None:
     clock = SystemClock()
@@ -207,7 +210,7 @@
     assert clock.now() == began
 
 
-def test_news_of_both_kinds_tell_evacuations() -> None:
+def test_load_news_and_domain_news_carry_evacuations() -> None:
     peer = PeerEntry('p', '10.0.0.1', 7200, 'north')
     news = LoadNews(1, 1, 0, peer, {}, evacuations=(BEGUN,))
     sent = decode_binary(encode_binary(news), LoadNews)
@@ -219,13 +222,15 @@
     assert ApplyEvacuations((BEGUN,)) in actions
 
 
-def test_briefing_tells_a_new_instance() -> None:
+def test_briefing_carries_evacuations() -> None:
     briefing = Briefing(b'', b'', evacuations=(BEGUN,))
     read = decode_binary(encode_binary(briefing), Briefing)
     assert read.evacuations == (BEGUN,)
 
 
-async def test_store_tells_begin_and_end(autojump_clock) -> None:
+async def test_follower_applies_evacuation_from_the_store(
+    autojump_clock,
+) -> None:
     key = 'op/evacuate/west'
     began = trio.current_time()
     listing = Success(Listing((Entry('servers/i', ENTRY_VALUE, 1, 1),), 1))
@@ -245,15 +250,15 @@
         nursery.cancel_scope.cancel()
 
 
-async def test_evacuated_engine_ends_its_work_and_gets_no_more() -> None:
+async def test_evacuated_engine_finishes_requests_and_gets_no_more() -> None:
     async with open_platform(engines=1, plains=1, instances=2) as stage:
-        async with draft_meanwhile(stage, 'running') as answers:
+        async with draft_meanwhile(stage, 'running') as responses:
             await find_runner(stage, 'running')
             stage.store.put('op/evacuate/west', {})
             for runtime in stage.runtimes:
                 await until(runtime.fleet.list_evacuated)
             refused = await draft(stage, 'refused')
-        assert answers[0].content == whole('running')
+        assert responses[0].content == whole('running')
         assert refused.status_code == 503
         assert float(refused.headers['Retry-After']) > 0
         assert not count_runs(stage, 'refused')
@@ -263,12 +268,12 @@
         assert (await draft(stage, 'later')).content == whole('later')
 
 
-async def test_plain_requests_leave_an_evacuated_domain() -> None:
+async def test_plain_requests_avoid_an_evacuated_domain() -> None:
     async with open_platform(plains=1) as stage:
         stage.store.put('op/evacuate/west', {})
         await until(stage.runtimes[0].fleet.list_evacuated)
-        answer = await stage.client.post(
+        response = await stage.client.post(
             stage.url('/cut/one'), headers=make_headers('r1'), content=b''
         )
-        assert answer.status_code == 503
+        assert response.status_code == 503
         assert not count_runs(stage, 'r1')
