--- a/tests/test_follow.py
+++ b/tests/test_follow.py
@@ -1,4 +1,8 @@
-"""Follow: what is missing after an outage may come back."""
+"""The store follower: outages, batched changes, polling and lost watches.
+
+An entry that is missing after a store outage lapses instead of leaving,
+because it may come back.
+"""
 
 from dataclasses import dataclass, field
 
@@ -26,11 +30,11 @@
 
 @dataclass
 class ScriptedStore:
-    """Answer reads of entries by a script; the last answer stays."""
+    """Return scripted listings in order, and the last one from then on."""
 
-    answers: list[Result[Listing, StoreFailure]]
-    asked: list[str] = field(default_factory=list)
-    #: Changes by the time in seconds at which the store makes them.
+    listings: list[Result[Listing, StoreFailure]]
+    fetched: list[str] = field(default_factory=list)
+    #: Changes with the time in seconds at which the store makes each.
     changes: list[tuple[float, Entry]] = field(default_factory=list)
     watched: int = 0
 
@@ -39,10 +43,10 @@
     ) -> Result[Listing, StoreFailure]:
         await trio.sleep(0.05)
         assert not prefix
-        self.asked.append(prefix)
-        if len(self.answers) > 1:
-            return self.answers.pop(0)
-        return self.answers[0]
+        self.fetched.append(prefix)
+        if len(self.listings) > 1:
+            return self.listings.pop(0)
+        return self.listings[0]
 
     async def watch(
         self, prefix: str, after: int, timeout: int
@@ -59,19 +63,19 @@
             await trio.sleep(0.001)
 
 
-def make_follower(store: ScriptedStore, watches, hears_nobody) -> StoreFollower:
+def make_follower(store: ScriptedStore, watches, is_isolated) -> StoreFollower:
     clock = SystemClock()
     fleet = Fleet(clock, 'west', 1)
     return StoreFollower(
-        store, fleet, clock, decode_change, print, watches, hears_nobody
+        store, fleet, clock, decode_change, print, watches, is_isolated
     )
 
 
 async def test_entry_missing_after_an_outage_lapses(autojump_clock) -> None:
     listed = Success(Listing((ENTRY,), 1))
     missing = Success(Listing((), 2))
-    away = Failure(StoreUnavailable('away'))
-    store = ScriptedStore([listed, away, missing])
+    unavailable = Failure(StoreUnavailable('away'))
+    store = ScriptedStore([listed, unavailable, missing])
     clock = SystemClock()
     fleet = Fleet(clock, 'west', 1)
     follower = StoreFollower(
@@ -79,14 +83,14 @@
     )
     async with trio.open_nursery() as nursery:
         nursery.start_soon(follower.run)
-        while len(store.asked) < 3:
+        while len(store.fetched) < 3:
             await trio.sleep(0.1)
         await trio.sleep(0.1)
         assert fleet.find('i').lifecycle is Lifecycle.LAPSED
         nursery.cancel_scope.cancel()
 
 
-async def test_changes_that_come_together_cost_one_more_call(
+async def test_changes_in_quick_succession_cost_one_more_watch(
     autojump_clock,
 ) -> None:
     began = trio.current_time()
@@ -100,41 +104,45 @@
         nursery.start_soon(follower.run)
         await trio.sleep(3)
         nursery.cancel_scope.cancel()
-    # The first change, the other four, and the watch that waits.
+    # One watch for the first change, one for the other four, one pending.
     assert store.watched == 3
 
 
-async def read_by_a_listener(hears_nobody, seconds: float) -> int:
-    """Return how often an instance that does not watch reads the store."""
+async def count_reads_without_watch(is_isolated, seconds: float) -> int:
+    """Return how often an instance without a watch reads the store."""
     store = ScriptedStore([Success(Listing((ENTRY,), 1))])
-    follower = make_follower(store, bool, hears_nobody)
+    follower = make_follower(store, bool, is_isolated)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(follower.run)
         await trio.sleep(seconds)
         nursery.cancel_scope.cancel()
-    return len(store.asked)
+    return len(store.fetched)
 
 
-async def test_who_hears_of_changes_seldom_reads(autojump_clock) -> None:
-    assert await read_by_a_listener(bool, 59) == 1
-    assert await read_by_a_listener(bool, 119) == 2
+async def test_instance_that_receives_news_rarely_reads_the_store(
+    autojump_clock,
+) -> None:
+    assert await count_reads_without_watch(bool, 59) == 1
+    assert await count_reads_without_watch(bool, 119) == 2
 
 
-async def test_who_heard_nobody_reads_soon_again(autojump_clock) -> None:
+async def test_isolated_instance_reads_the_store_again_soon(
+    autojump_clock,
+) -> None:
     began = trio.current_time()
 
-    def cut_off_for_a_second() -> bool:
+    def isolated_for_a_second() -> bool:
         return 10 <= trio.current_time() - began <= 11
 
-    assert 2 <= await read_by_a_listener(cut_off_for_a_second, 12) <= 3
+    assert 2 <= await count_reads_without_watch(isolated_for_a_second, 12) <= 3
 
 
 @dataclass
 class SilencedStore(ScriptedStore):
-    """Lose each watch that begins before a time; its answer never comes."""
+    """Lose the response of each watch that begins before a given time."""
 
     silent_until: float = 0
-    #: What the adapter waits beyond the time for which a watch is held.
+    #: Seconds that the adapter waits beyond the timeout of a watch.
     slack: float = 0.5
 
     async def watch(
@@ -146,7 +154,7 @@
         return await super().watch(prefix, after, timeout)
 
 
-async def test_lost_watch_is_noticed_before_the_bounds_hold_again(
+async def test_lost_watch_is_detected_before_the_time_limits_apply_again(
     autojump_clock,
 ) -> None:
     began = trio.current_time()
@@ -154,11 +162,11 @@
     store = SilencedStore(
         [Success(Listing((ENTRY,), 1))], silent_until=began + 1
     )
-    # Three seconds after the silence the operator writes; two more are the
-    # bound of a configuration.
+    # The operator writes three seconds after the silence; a configuration
+    # must be applied within two more seconds.
     store.changes = [(began + 4, later)]
     follower = make_follower(store, lambda: True, bool)
-    # The watch begins at the end of the silence.
+    # The watch begins just before the silence ends.
     await trio.sleep(0.9)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(follower.run)
