--- a/tests/test_pace.py
+++ b/tests/test_pace.py
@@ -1,4 +1,4 @@
-"""How fast engines are, learnt from their generations, and what follows."""
+"""Engine pace learnt from generations, and its effect on the choice."""
 
 from random import Random
 
@@ -11,15 +11,15 @@
 from cartdale.fleet.reading import ReadingShares
 from tests.test_fleet import SPEC, make_fleet, pick
 
-#: A short answer to a long prompt, and a long generation.
+#: A short response to a long prompt, and a long generation.
 TAG = RequestNeeds('s', 900, 12, reads=900)
 DRAFT = RequestNeeds('s', 900, 900, reads=900)
-#: Generations that it takes until a deployment's own figures hold.
-SEEN = 60
+#: Generations until the observed pace has replaced the initial values.
+LEARNING_GENERATIONS = 60
 
 
 def learn_all(pace: Pace, reading: float, token_time: float) -> Pace:
-    for number in range(SEEN):
+    for number in range(LEARNING_GENERATIONS):
         read = 1000 + 100 * (number % 20)
         progress = Progress(
             read=read,
@@ -42,7 +42,7 @@
     assert learnt.read_time(700) == pytest.approx(700 / reading, rel=0.05)
 
 
-def test_generation_that_made_little_tells_only_of_reading() -> None:
+def test_generation_with_few_events_updates_only_the_reading_rate() -> None:
     few = Progress(read=700, first_after=100, events=2, span=90, event_tokens=4)
     learnt = learn(Pace(), few)
     assert learnt.token_time == Pace().token_time
@@ -51,7 +51,7 @@
     assert learn(Pace(), nothing) == Pace()
 
 
-def test_prompt_goes_where_little_is_generated() -> None:
+def test_long_prompt_goes_to_the_engine_with_fewer_long_generations() -> None:
     loads = {
         'a': Load(runs=3, tokens=2000, long=3),
         'b': Load(runs=3, tokens=2600, long=0),
@@ -59,7 +59,7 @@
     assert pick(make_fleet('a', 'b'), TAG, loads) == 'b'
 
 
-def test_prompt_does_not_wait_behind_many_others() -> None:
+def test_long_prompt_avoids_an_engine_with_queued_prompts() -> None:
     loads = {
         'a': Load(runs=1, tokens=2000, long=1),
         'b': Load(runs=3, tokens=2600, reading=2600),
@@ -67,17 +67,17 @@
     assert pick(make_fleet('a', 'b'), TAG, loads) == 'a'
 
 
-def test_long_generation_goes_where_little_is_read() -> None:
+def test_long_generation_goes_to_the_engine_that_reads_less() -> None:
     state = make_fleet('a', 'b')
-    around = ChoiceContext(
+    context = ChoiceContext(
         SPEC, {}, 'west', 0, reading_shares={'a': 0.5, 'b': 0.05}
     )
-    chosen = choose(list_candidates(state, DRAFT), DRAFT, around, Random(1))
+    chosen = choose(list_candidates(state, DRAFT), DRAFT, context, Random(1))
     assert chosen is not None
     assert chosen.entry.upstream == 'b'
 
 
-def test_memory_that_fills_up_goes_before_reading() -> None:
+def test_nearly_full_memory_outweighs_long_generations() -> None:
     loads = {
         'a': Load(runs=3, tokens=8200, long=0),
         'b': Load(runs=2, tokens=2000, long=2),
@@ -85,13 +85,13 @@
     assert pick(make_fleet('a', 'b'), TAG, loads) == 'b'
 
 
-def test_short_request_needs_no_room_for_growth_after_its_end() -> None:
+def test_short_request_reserves_no_memory_for_growth_after_its_end() -> None:
     loads = {'a': Load(runs=3, tokens=7000, growth=4000, long=3)}
     assert pick(make_fleet('a'), TAG, loads) == 'a'
     assert pick(make_fleet('a'), DRAFT, loads) is None
 
 
-def test_reading_share_follows_what_is_looked_at() -> None:
+def test_reading_share_follows_the_sampled_loads() -> None:
     shares = ReadingShares()
     for _ in range(100):
         shares.look(['a', 'b'], {'a': Load(runs=1, reading=10)})
