--- a/tests/test_switches.py
+++ b/tests/test_switches.py
@@ -1,4 +1,4 @@
-"""Mechanisms that are switched off."""
+"""Parsing of the mechanism switches, and the choice without a mechanism."""
 
 from random import Random
 
@@ -15,7 +15,7 @@
 from tests.test_pace import TAG
 
 
-def test_names_are_read_and_all_is_on_without_any() -> None:
+def test_listed_mechanisms_are_off_and_all_others_on() -> None:
     assert parse_switches('') == Switches()
     off = parse_switches(' moves, forecast,')
     assert off.off == {Mechanism.MOVES, Mechanism.FORECAST}
@@ -23,24 +23,24 @@
     assert off.is_enabled(Mechanism.BACKUPS)
 
 
-def test_unknown_names_are_all_told() -> None:
+def test_all_unknown_names_are_reported() -> None:
     with pytest.raises(BadInputError) as caught:
         parse_switches('moves,movs,x')
-    told = caught.value.format_message()
-    assert "CARTDALE_OFF:0: off: 'movs' is none of" in told
-    assert "'x' is none of" in told
+    message = caught.value.format_message()
+    assert "CARTDALE_OFF:0: off: 'movs' is none of" in message
+    assert "'x' is none of" in message
 
 
 def pick(state, loads, off: str) -> str:
-    around = ChoiceContext(
+    context = ChoiceContext(
         SPEC, loads, 'west', 1000, switches=parse_switches(off)
     )
-    chosen = choose(list_candidates(state, TAG), TAG, around, Random(1))
+    chosen = choose(list_candidates(state, TAG), TAG, context, Random(1))
     assert chosen is not None
     return chosen.entry.upstream
 
 
-def test_choice_without_interference_goes_by_memory() -> None:
+def test_choice_without_interference_depends_on_memory() -> None:
     loads = {
         'a': Load(runs=3, tokens=2000, long=3),
         'b': Load(runs=3, tokens=4000, long=0),
@@ -50,7 +50,7 @@
     assert pick(state, loads, 'interference') == 'a'
 
 
-def test_choice_without_avoidance_takes_what_fails() -> None:
+def test_choice_without_avoidance_may_use_a_failing_upstream() -> None:
     state = make_fleet('a', 'b')
     for _ in range(5):
         state, _ = decide(
