--- a/src/cartdale/configuration/__init__.py
+++ b/src/cartdale/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Configuration: the confirmed state in force on this instance."""
+"""The confirmed configuration in force on this instance."""
--- a/src/cartdale/configuration/bodies.py
+++ b/src/cartdale/configuration/bodies.py
@@ -1,4 +1,4 @@
-"""Translate declared objects to bodies by key, and back."""
+"""Convert declared objects to JSON bodies by key, and back."""
 
 from collections.abc import Mapping
 from types import MappingProxyType
@@ -15,7 +15,7 @@
     Upstream,
 )
 
-_SHAPES_BY_KIND: Mapping[str, type[Any]] = MappingProxyType(
+_TYPES_BY_KIND: Mapping[str, type[Any]] = MappingProxyType(
     {
         'models': Model,
         'failure_domains': FailureDomain,
@@ -37,13 +37,13 @@
 
 
 def decode_bodies(bodies_by_key: dict[str, str]) -> Declarations:
-    """Decode a configuration.
+    """Decode a configuration from its bodies by key.
 
-    :raises msgspec.MsgspecError: when a body does not fit its kind.
+    :raises msgspec.MsgspecError: if a body does not match its kind.
     """
     declared = Declarations()
     for key, body in bodies_by_key.items():
         kind, _, name = key.partition('.')
-        decoded = decode_json(body, _SHAPES_BY_KIND[kind])
+        decoded = decode_json(body, _TYPES_BY_KIND[kind])
         getattr(declared, kind)[name] = decoded
     return declared
--- a/src/cartdale/configuration/decide.py
+++ b/src/cartdale/configuration/decide.py
@@ -1,4 +1,4 @@
-"""Decide what configuration is in force; it only ever moves forward."""
+"""State machine of the configuration; its revision never decreases."""
 
 from dataclasses import replace
 from typing import assert_never
@@ -26,18 +26,19 @@
 def decide(
     state: ConfigurationState, message: Message, now: Millis
 ) -> Decision:
-    """Take one message.
+    """Apply one message to the state.
 
-    :param now: monotonic milliseconds; unused, kept for the common shape.
-    :returns: the next state, and what to fetch or put in force.
+    :param now: monotonic milliseconds; named only in the
+        invariant's detail; all state machines have this parameter.
+    :returns: the next state, and what to fetch or adopt.
     """
     match message:
         case RevisionAnnounced(revision=revision):
-            after, actions = _hear(state, revision)
+            after, actions = _apply_announcement(state, revision)
         case DeltasReceived(deltas=deltas):
-            after, actions = _take_deltas(state, deltas)
+            after, actions = _apply_deltas(state, deltas)
         case SnapshotReceived(snapshot=snapshot):
-            after, actions = _take_snapshot(state, snapshot)
+            after, actions = _apply_snapshot(state, snapshot)
         case _:
             assert_never(message)
     check_invariant(
@@ -51,7 +52,7 @@
 def apply_changes(
     bodies_by_key: dict[str, str], changes: tuple[Change, ...]
 ) -> dict[str, str]:
-    """Return a copy with the changes applied."""
+    """Return a copy of the bodies with the changes applied."""
     after = dict(bodies_by_key)
     for change in changes:
         if change.body:
@@ -64,15 +65,19 @@
 def select_deltas(
     state: ConfigurationState, after: int
 ) -> tuple[Delta, ...] | Snapshot:
-    """Choose what to hand to a peer whose revision is ``after``."""
-    wanted = tuple(delta for delta in state.recent if delta.revision > after)
-    contiguous = bool(wanted) and wanted[0].revision == after + 1
+    """Select what to send to a peer whose revision is ``after``.
+
+    :returns: the deltas after that revision, or a snapshot if some of them
+        are no longer kept.
+    """
+    missing = tuple(delta for delta in state.recent if delta.revision > after)
+    contiguous = bool(missing) and missing[0].revision == after + 1
     if contiguous or state.revision <= after:
-        return wanted
+        return missing
     return Snapshot(state.revision, state.digest, state.bodies_by_key)
 
 
-def _hear(state: ConfigurationState, revision: int) -> Decision:
+def _apply_announcement(state: ConfigurationState, revision: int) -> Decision:
     if revision < state.revision:
         return replace(state, stale=state.stale + 1), ()
     if revision <= state.target and revision == state.revision:
@@ -82,11 +87,11 @@
     return after, _fetch_missing(after)
 
 
-def _take_deltas(
+def _apply_deltas(
     state: ConfigurationState, deltas: tuple[Delta, ...]
 ) -> Decision:
     actions: list[Action] = []
-    for delta in sorted(deltas, key=_revision_of):
+    for delta in sorted(deltas, key=_get_revision):
         if delta.revision <= state.revision:
             state = replace(state, stale=state.stale + 1)
             continue
@@ -109,7 +114,7 @@
     return state, tuple(actions)
 
 
-def _take_snapshot(state: ConfigurationState, snapshot: Snapshot) -> Decision:
+def _apply_snapshot(state: ConfigurationState, snapshot: Snapshot) -> Decision:
     if snapshot.revision <= state.revision:
         return replace(state, stale=state.stale + 1), ()
     expected = digest_bodies(snapshot.revision, snapshot.bodies_by_key)
@@ -133,5 +138,5 @@
     return ()
 
 
-def _revision_of(delta: Delta) -> int:
+def _get_revision(delta: Delta) -> int:
     return delta.revision
--- a/src/cartdale/configuration/driver.py
+++ b/src/cartdale/configuration/driver.py
@@ -1,4 +1,4 @@
-"""Keep this instance's configuration in step with the store."""
+"""Synchronize this instance's configuration with the store."""
 
 import random
 from collections.abc import Callable
@@ -32,13 +32,15 @@
 from cartdale.store.types import Store
 
 WATCH_TIMEOUT: Millis = 60_000
-#: Between reads of an instance that does not watch, and its spread.
-READ_SELDOM: Millis = 30_000
-#: Instances that start together read the store spread over so long.
-_START_SPREAD: Millis = 1000
-#: First and longest pause while the store fails.
-_PAUSE: Millis = 1000
-_LONGEST_PAUSE: Millis = 30_000
+#: Least interval between reads of an instance that does not watch the
+#: store; a random delay of up to as much is added.
+UNWATCHED_READ_INTERVAL: Millis = 30_000
+#: The first read is delayed at random by up to this, so that instances
+#: that start together do not read the store at once.
+_MAX_START_DELAY: Millis = 1000
+#: Initial and maximum delay before a retry while the store fails.
+_RETRY_DELAY: Millis = 1000
+_MAX_RETRY_DELAY: Millis = 30_000
 
 Adopted = Callable[[ConfigurationState], None]
 
@@ -46,7 +48,7 @@
 class Configurator:
     """Hold the configuration of this instance.
 
-    :param adopted: called after a newer configuration is in force.
+    :param adopted: called after a newer configuration has been adopted.
     """
 
     def __init__(
@@ -63,29 +65,32 @@
         self.took: Millis = 0
 
     async def dispatch(self, message: Message) -> None:
-        """Take a message and carry out what is decided."""
+        """Apply a message and carry out the resulting actions."""
         for action in self.apply(message):
             match action:
                 case Fetch():
                     await self.catch_up()
                 case Adopt():
-                    """Carried out when it was applied."""
+                    """Already carried out by ``apply``."""
                 case _:
                     assert_never(action)
 
     def apply(self, message: Message) -> tuple[Action, ...]:
-        """Take a message; adoptions are carried out at once."""
+        """Apply a message and carry out adoptions at once.
+
+        :returns: all resulting actions, including the adoptions.
+        """
         after, actions = decide(self.state, message, self._clock.now())
         self.state = after
         for action in actions:
             if isinstance(action, Adopt):
-                self._note(action)
+                self._record_adoption(action)
         return actions
 
     async def catch_up(self) -> bool:
-        """Read what the store has and this instance lacks.
+        """Read the revisions that this instance lacks from the store.
 
-        :returns: whether the store answered.
+        :returns: whether all of them were read and applied.
         """
         async with self._fetching:
             seen = await read_head(self._store)
@@ -95,12 +100,13 @@
             return await self._catch_up_to(self._seen)
 
     async def run(self, watches: Callable[[], bool]) -> None:
-        """Follow the store for ever, without trampling it.
+        """Follow the store until cancelled, with a bounded load on it.
 
-        :param watches: tells whether this instance is one of the few that
-            wait at the store; the others hear from them and read seldom.
+        :param watches: returns whether this instance is one of the few that
+            watch the store; the others receive revisions from these and
+            read the store only every ``UNWATCHED_READ_INTERVAL`` or more.
         """
-        await trio.sleep(as_seconds(self._draw(_START_SPREAD)))
+        await trio.sleep(as_seconds(self._draw_delay(_MAX_START_DELAY)))
         while True:
             async for attempt in self._retrying():
                 with attempt:
@@ -108,26 +114,32 @@
             if watches():
                 await self._wait_for_change()
                 continue
-            await trio.sleep(as_seconds(READ_SELDOM + self._draw(READ_SELDOM)))
+            await trio.sleep(
+                as_seconds(
+                    UNWATCHED_READ_INTERVAL
+                    + self._draw_delay(UNWATCHED_READ_INTERVAL)
+                )
+            )
 
     def _retrying(self) -> AsyncRetrying:
         return AsyncRetrying(
             sleep=trio.sleep,
             wait=wait_random_exponential(
-                multiplier=as_seconds(_PAUSE), max=as_seconds(_LONGEST_PAUSE)
+                multiplier=as_seconds(_RETRY_DELAY),
+                max=as_seconds(_MAX_RETRY_DELAY),
             ),
             retry=retry_if_result(not_),
         )
 
-    def _draw(self, span: Millis) -> Millis:
-        return self._generator.randrange(span)
+    def _draw_delay(self, limit: Millis) -> Millis:
+        return self._generator.randrange(limit)
 
     async def _wait_for_change(self) -> None:
         waited = await self._store.wait_change(
             HEAD_KEY, self._seen.mod_revision, WATCH_TIMEOUT
         )
         if isinstance(waited, Failure):
-            await trio.sleep(as_seconds(_PAUSE))
+            await trio.sleep(as_seconds(_RETRY_DELAY))
 
     async def _catch_up_to(self, seen: StoredHead) -> bool:
         self.apply(RevisionAnnounced(seen.head.revision))
@@ -146,14 +158,14 @@
     async def _load_snapshot(self, revision: int) -> bool:
         if revision <= self.state.revision:
             return False
-        found = await read_snapshot(self._store, revision)
-        snapshot = found.value_or(None)
+        fetched = await read_snapshot(self._store, revision)
+        snapshot = fetched.value_or(None)
         if snapshot is None:
             return False
         self.apply(SnapshotReceived(snapshot))
         return self.state.revision >= revision
 
-    def _note(self, adopt: Adopt) -> None:
+    def _record_adoption(self, adopt: Adopt) -> None:
         self.in_force_at = self._clock.wall_time()
         self.took = 0
         if adopt.confirmed_at:
--- a/src/cartdale/configuration/storage.py
+++ b/src/cartdale/configuration/storage.py
@@ -1,8 +1,8 @@
-"""Keep the configuration in the store: a head, a log and snapshots.
+"""Store the configuration as a head, a log and snapshots.
 
-The log holds one delta a revision; a snapshot every ``SNAPSHOT_EVERY``
-revisions bounds what a new instance reads. Snapshots stay under the store's
-value limit by being cut into parts; a delta beyond it is not confirmed.
+The log holds one delta per revision; a snapshot every ``SNAPSHOT_INTERVAL``
+revisions bounds what a new instance reads. Snapshots are split into parts to
+stay under the store's value limit; a delta above it is not confirmed.
 """
 
 from dataclasses import dataclass, replace
@@ -31,17 +31,17 @@
 HEAD_KEY = 'cartdale/config/head'
 LOG_PREFIX = 'cartdale/config/log/'
 SNAPSHOT_PREFIX = 'cartdale/config/snapshot/'
-SNAPSHOT_EVERY = 32
+SNAPSHOT_INTERVAL = 32
 KEPT_LOG = 256
 PART_BYTES = 524288
-#: The platform's key-value service holds values of up to a megabyte.
+#: The platform's key-value service accepts values of up to a megabyte.
 VALUE_LIMIT = 1_000_000
-_READ_AT_ONCE = 64
+_MAX_DELTAS_PER_READ = 64
 
 
 @dataclass(frozen=True, slots=True)
 class StoredHead:
-    """Hold the head and the store revision of its last write."""
+    """The head and the store revision of its last write."""
 
     head: Head
     mod_revision: int
@@ -56,7 +56,7 @@
 
 
 async def read_head(store: Store) -> Result[StoredHead, StoreFailure]:
-    """Read the head; revision 0 when nothing was ever confirmed."""
+    """Read the head; its revision is 0 if nothing has been confirmed."""
     listing = await store.fetch(HEAD_KEY)
     return listing.map(_to_head)
 
@@ -64,28 +64,33 @@
 async def read_log(
     store: Store, after: int
 ) -> Result[tuple[Delta, ...], StoreFailure]:
-    """Read some deltas after a revision, oldest first."""
-    listing = await store.fetch(LOG_PREFIX, log_key(after + 1), _READ_AT_ONCE)
+    """Read the next deltas after a revision, oldest first.
+
+    At most ``_MAX_DELTAS_PER_READ`` are returned.
+    """
+    listing = await store.fetch(
+        LOG_PREFIX, log_key(after + 1), _MAX_DELTAS_PER_READ
+    )
     return listing.map(_to_deltas)
 
 
 async def read_snapshot(
     store: Store, revision: int
 ) -> Result[Snapshot | None, StoreFailure]:
-    """Read a snapshot; ``None`` when its parts are not complete."""
+    """Read a snapshot; ``None`` if the store has no parts of it."""
     listing = await store.fetch(f'{SNAPSHOT_PREFIX}{revision:012d}/')
     return listing.map(_join_parts)
 
 
 def measure(delta: Delta) -> int:
-    """Return how many bytes a delta takes in the store."""
+    """Return the encoded size of a delta in bytes."""
     return len(encode_json(delta))
 
 
 async def append(
     store: Store, seen: StoredHead, delta: Delta
 ) -> Result[TransactionOutcome, StoreFailure]:
-    """Write a delta if the head is still the one that was seen."""
+    """Write a delta if the head has not changed since it was read."""
     head = replace(
         seen.head,
         revision=delta.revision,
@@ -105,14 +110,17 @@
 
 
 def snapshot_due(state: ConfigurationState, head: Head) -> bool:
-    """Tell whether a snapshot should be written."""
-    return state.revision - head.snapshot_revision >= SNAPSHOT_EVERY
+    """Return whether a snapshot should be written."""
+    return state.revision - head.snapshot_revision >= SNAPSHOT_INTERVAL
 
 
 async def write_snapshot(
     store: Store, state: ConfigurationState
 ) -> Result[bool, StoreFailure]:
-    """Write a snapshot, then name it in the head by compare-and-swap."""
+    """Write a snapshot, then reference it in the head by compare-and-swap.
+
+    :returns: whether the head was updated.
+    """
     snapshot = Snapshot(state.revision, state.digest, state.bodies_by_key)
     raw = encode_json(snapshot)
     for number, start in enumerate(range(0, len(raw), PART_BYTES)):
@@ -124,10 +132,10 @@
     seen = await read_head(store)
     if isinstance(seen, Failure):
         return Failure(seen.failure())
-    return await _name_snapshot(store, seen.unwrap(), state.revision)
+    return await _reference_snapshot(store, seen.unwrap(), state.revision)
 
 
-async def _name_snapshot(
+async def _reference_snapshot(
     store: Store, seen: StoredHead, revision: int
 ) -> Result[bool, StoreFailure]:
     if seen.head.snapshot_revision >= revision:
--- a/src/cartdale/configuration/types.py
+++ b/src/cartdale/configuration/types.py
@@ -1,11 +1,11 @@
-"""Messages, state and actions of the configuration slice."""
+"""Messages, state and actions of the configuration state machine."""
 
 from dataclasses import dataclass, field
 
 from cartdale.clock import Millis
 from cartdale.codec import digest, encode_json
 
-#: Deltas an instance keeps to hand to peers that are a little behind.
+#: Deltas that an instance keeps for peers that are a few revisions behind.
 KEPT_DELTAS = 64
 
 
@@ -23,13 +23,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Delta:
-    """Carry one confirmed revision.
+    """The changes of one confirmed revision.
 
     :param revision: from 1, without gaps.
-    :param digest: digest of the whole configuration after this delta.
+    :param digest: digest of the complete configuration after this delta.
     :param plan_id: the plan that was confirmed.
     :param author: who confirmed it.
-    :param wall_ms: when, on the confirming instance's wall clock.
+    :param wall_ms: confirmation time on the confirming instance's wall clock.
     """
 
     revision: int
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """Carry the whole configuration at one revision."""
+    """The complete configuration at one revision."""
 
     revision: int
     digest: str
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Head:
-    """Name the last confirmed revision, as the store holds it.
+    """The last confirmed revision, as stored.
 
     :param snapshot_revision: newest snapshot in the store; 0 for none.
     """
@@ -63,7 +63,7 @@
 
 
 def digest_bodies(revision: int, bodies_by_key: dict[str, str]) -> str:
-    """Digest a whole configuration, independent of insertion order."""
+    """Digest a complete configuration, independent of insertion order."""
     return digest(encode_json((revision, sorted(bodies_by_key.items()))))
 
 
@@ -72,12 +72,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationState:
-    """Hold what is in force on one instance.
+    """The configuration in force on one instance.
 
-    :param target: highest revision heard of from anyone.
+    :param target: highest revision known from the store or a peer.
     :param recent: the last deltas, oldest first, for peers.
     :param rejected: deltas and snapshots that failed verification.
-    :param stale: messages about revisions older than the one in force.
+    :param stale: announcements of older revisions, and deltas and snapshots
+        that are no newer than the revision in force.
     """
 
     revision: int = 0
@@ -91,21 +92,21 @@
 
 @dataclass(frozen=True, slots=True)
 class RevisionAnnounced:
-    """Someone says that a revision exists."""
+    """The store or a peer announces that a revision exists."""
 
     revision: int
 
 
 @dataclass(frozen=True, slots=True)
 class DeltasReceived:
-    """The store or a peer hands on deltas, in any order."""
+    """The store or a peer sent deltas, in any order."""
 
     deltas: tuple[Delta, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class SnapshotReceived:
-    """The store or a peer hands on a whole configuration."""
+    """The store or a peer sent a complete configuration."""
 
     snapshot: Snapshot
 
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,4 +1,7 @@
-"""Configuration only moves forward, and catches up by any way."""
+"""The configuration never reverts, whatever order messages arrive in.
+
+Deltas and snapshots may arrive reordered, late, repeated or altered.
+"""
 
 import pytest
 from hypothesis import given, settings
@@ -46,14 +49,14 @@
     return decide(ConfigurationState(), received, 0)[0]
 
 
-def test_deltas_apply_in_order_whatever_their_order() -> None:
+def test_deltas_are_applied_in_order_of_revision() -> None:
     shuffled = DeltasReceived(tuple(reversed(HISTORY[:7])))
     state, actions = decide(ConfigurationState(), shuffled, 0)
     assert state.revision == 7
     assert [type(action) for action in actions] == [Adopt] * 7
 
 
-def test_a_gap_is_fetched() -> None:
+def test_a_missing_delta_is_fetched() -> None:
     state, actions = decide(state_at(3), DeltasReceived((HISTORY[4],)), 0)
     assert state.revision == 3
     assert actions == (Fetch(3),)
@@ -66,18 +69,18 @@
     assert state.stale == 1
 
 
-def test_a_forged_delta_is_rejected() -> None:
+def test_a_delta_with_a_wrong_digest_is_rejected() -> None:
     forged = Delta(4, 'wrong', 'p', 'a', 1, (Change('k', 'x'),))
     state, _ = decide(state_at(3), DeltasReceived((forged,)), 0)
     assert state.revision == 3
     assert state.rejected == 1
 
 
-def test_a_snapshot_brings_a_late_instance_forward() -> None:
+def test_a_snapshot_updates_an_instance_far_behind() -> None:
     ahead = state_at(len(HISTORY))
-    handed = select_deltas(ahead, 0)
-    assert isinstance(handed, Snapshot)
-    state, actions = decide(state_at(2), SnapshotReceived(handed), 0)
+    selected = select_deltas(ahead, 0)
+    assert isinstance(selected, Snapshot)
+    state, actions = decide(state_at(2), SnapshotReceived(selected), 0)
     assert state.bodies_by_key == ahead.bodies_by_key
     assert actions[0].revision == len(HISTORY)
 
@@ -90,9 +93,9 @@
     assert actions == ()
 
 
-def test_a_peer_a_little_behind_gets_deltas() -> None:
-    handed = select_deltas(state_at(9), 6)
-    assert [delta.revision for delta in handed] == [7, 8, 9]
+def test_a_peer_a_few_revisions_behind_gets_deltas() -> None:
+    selected = select_deltas(state_at(9), 6)
+    assert [delta.revision for delta in selected] == [7, 8, 9]
 
 
 @settings(max_examples=100, derandomize=True, deadline=None)
@@ -126,6 +129,6 @@
         assert state.bodies_by_key == state_at(state.revision).bodies_by_key
 
 
-def test_the_invariant_can_fail() -> None:
+def test_the_invariant_check_raises() -> None:
     with pytest.raises(InvariantError, match=NEVER_REVERTS):
         check_invariant(NEVER_REVERTS, holds=False, detail='3 to 2')
