--- a/src/cartdale/callers/__init__.py
+++ b/src/cartdale/callers/__init__.py
@@ -1,1 +1,1 @@
-"""Callers: the HTTP interface of the users."""
+"""HTTP interface for the users of the services."""
--- a/src/cartdale/callers/app.py
+++ b/src/cartdale/callers/app.py
@@ -1,4 +1,4 @@
-"""Serve callers over HTTP: completions, chats and plain services."""
+"""HTTP application for callers: completions, chats, plain services."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -38,7 +38,7 @@
 )
 from cartdale.streams.ports import DeliveryPorts
 
-#: Largest request body, in bytes, and longest time to receive it, seconds.
+#: Maximum request body in bytes, and maximum time to receive it in seconds.
 BODY_LIMIT = 1048576
 BODY_SECONDS = 30
 _NOT_READY_RETRY: Millis = 1000
@@ -46,14 +46,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Health:
-    """Answer a health check."""
+    """Body of the response to a health check."""
 
     status: str
 
 
 @dataclass(frozen=True, slots=True)
 class ListedModel:
-    """Name one service that a caller may use as a model."""
+    """Service that a caller may use as a model."""
 
     id: str
     object: str = 'model'
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedModels:
-    """Answer the list of models."""
+    """Body of the response that lists the models."""
 
     data: tuple[ListedModel, ...]
     object: str = 'list'
@@ -71,10 +71,10 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerPorts:
-    """Bundle what the callers' interface uses of its instance.
+    """Dependencies of the callers' interface on the instance.
 
-    :param directory: reads the directory that is in force.
-    :param ready: tells whether the balancer may send requests here.
+    :param directory: returns the directory in force.
+    :param ready: returns whether the load balancer may send requests here.
     """
 
     delivery: DeliveryPorts
@@ -87,7 +87,7 @@
 
 
 class CallerApp:
-    """Answer callers."""
+    """Serve the HTTP interface for callers."""
 
     def __init__(self, ports: CallerPorts) -> None:
         self._ports = ports
@@ -111,8 +111,8 @@
             self._call_plain,
             methods=['GET', 'POST', 'PUT', 'DELETE'],
         )
-        app.register_error_handler(HTTPException, _answer_http_error)
-        app.register_error_handler(Exception, _answer_failure)
+        app.register_error_handler(HTTPException, _handle_http_error)
+        app.register_error_handler(Exception, _handle_exception)
         return app
 
     async def _complete(self) -> Response:
@@ -127,7 +127,7 @@
         if self._ports.leaving():
             return make_problem_response(NotRun(NotRunReason.LEAVING, 0))
         if not self._ports.ready():
-            # Keys cannot be told apart before a configuration is in force.
+            # API keys cannot be checked before a configuration is in force.
             refusal = NotRun(NotRunReason.NOT_READY, _NOT_READY_RETRY)
             return make_problem_response(refusal)
         caller = identify_caller(
@@ -151,8 +151,8 @@
         self, service_name: str, path: str, caller: Caller
     ) -> Response:
         service = self._ports.directory().services_by_name.get(service_name)
-        known = service_name in caller.customer.services
-        if service is None or not known:
+        permitted = service_name in caller.customer.services
+        if service is None or not permitted:
             return make_problem_response(Unauthorised())
         if service.kind is not UpstreamKind.PLAIN:
             return make_problem_response(BadRequest('path', 'a plain service'))
@@ -160,7 +160,7 @@
         if limited is not None:
             return make_problem_response(limited)
         query = request.query_string.decode()
-        asked = PlainRequest(
+        plain_request = PlainRequest(
             method=request.method,
             path=f'{path}?{query}' if query else path,
             body=await read_body(),
@@ -168,7 +168,7 @@
             key=request.headers.get(HEADER_KEY, ''),
         )
         return await self._ports.plain.serve(
-            PlainCall(caller, service_name, service, asked)
+            PlainCall(caller, service_name, service, plain_request)
         )
 
     async def _generate(self, caller: Caller) -> Response:
@@ -186,9 +186,9 @@
         )
         if isinstance(position, Failure):
             return make_problem_response(position.failure())
-        found = position.unwrap()
-        if found is not None:
-            return await self._ports.generations.resume(call, found)
+        resume_position = position.unwrap()
+        if resume_position is not None:
+            return await self._ports.generations.resume(call, resume_position)
         limited = await self._charge(caller, call.service_name)
         if limited is not None:
             return make_problem_response(limited)
@@ -197,9 +197,9 @@
         )
 
     async def _list_models(self) -> Response:
-        return await self._admit(self._list_models_of)
+        return await self._admit(self._list_caller_models)
 
-    async def _list_models_of(self, caller: Caller) -> Response:
+    async def _list_caller_models(self, caller: Caller) -> Response:
         listed = tuple(ListedModel(name) for name in caller.customer.services)
         return make_json_response(ListedModels(listed))
 
@@ -220,13 +220,13 @@
     return raw.encode() if isinstance(raw, str) else raw
 
 
-async def _answer_http_error(error: HTTPException) -> Response:
+async def _handle_http_error(error: HTTPException) -> Response:
     name = error.name
     return make_problem_response(
         BadRequest('request', f'another request ({name})')
     )
 
 
-async def _answer_failure(error: Exception) -> Response:
+async def _handle_exception(error: Exception) -> Response:
     logger.opt(exception=error).error('a request failed')
     return make_problem_response(OutcomeUnknown('an error of this instance'))
--- a/src/cartdale/callers/generations.py
+++ b/src/cartdale/callers/generations.py
@@ -1,4 +1,4 @@
-"""Serve generations: new, resumed, or repeated under the same key."""
+"""Serve completion requests: new, resumed or repeated with one key."""
 
 from dataclasses import dataclass
 
@@ -10,7 +10,7 @@
     Grant,
     KeyedRequest,
     KeyGuard,
-    Repeated,
+    Replay,
 )
 from cartdale.callers.read import (
     GenerationCall,
@@ -19,9 +19,9 @@
     make_generation_id,
 )
 from cartdale.callers.respond import (
-    collect_answer,
+    collect_response,
     make_problem_response,
-    stream_answer,
+    stream_response,
 )
 from cartdale.declarations.types import Repeat
 from cartdale.invariants import RIGHT_CALLER, check_invariant
@@ -39,22 +39,22 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Begun:
-    """Hold a delivery with its first batch."""
+class _StartedDelivery:
+    """Started delivery with its first batch."""
 
     delivery: Delivery
     first: Batch
 
 
 class GenerationGateway:
-    """Answer completion requests."""
+    """Serve completion requests of callers."""
 
     def __init__(self, ports: DeliveryPorts, keys: KeyGuard) -> None:
         self._ports = ports
         self._keys = keys
 
     async def serve(self, call: GenerationCall, key: str) -> Response:
-        """Answer a new request, or attach to the one with the same key."""
+        """Start a generation, or attach to the one with the same key."""
         admitted = await self._keys.admit(
             KeyedRequest(
                 customer=call.caller.name,
@@ -65,7 +65,7 @@
             ),
         )
         match admitted:
-            case Success(Repeated(answer=kept)):
+            case Success(Replay(answer=kept)):
                 return await self._attach(call, kept)
             case Success(Grant() as grant):
                 return await self._start(call, grant)
@@ -77,14 +77,16 @@
     async def resume(
         self, call: GenerationCall, position: Position
     ) -> Response:
-        """Continue an answer behind a position."""
+        """Resume a generation after a position."""
         check_invariant(
             RIGHT_CALLER,
             holds=position.origin.customer == call.caller.name,
             detail=f'{position.origin.generation} for {call.caller.name}',
         )
-        delivery = self._make(call, position.origin.generation, position)
-        return await self._answer(call, await _begin(delivery))
+        delivery = self._make_delivery(
+            call, position.origin.generation, position
+        )
+        return await self._respond(call, await _start_delivery(delivery))
 
     async def _attach(self, call: GenerationCall, kept: KeptAnswer) -> Response:
         position = self._ports.position_signer.verify(f'{kept.origin}.0.')
@@ -95,63 +97,72 @@
         return await self.resume(call, position)
 
     async def _start(self, call: GenerationCall, grant: Grant) -> Response:
-        delivery = self._make(call, make_generation_id(), None)
+        delivery = self._make_delivery(call, make_generation_id(), None)
         try:
-            begun = await _begin(delivery)
+            started = await _start_delivery(delivery)
         except BaseException:
-            # The caller went away; the key's owner must still hear of it.
-            lost = _Begun(delivery, _describe_abandoned(delivery))
-            self._ports.nursery.start_soon(self._report, grant, lost)
+            # The caller disconnected; the outcome must still be reported to
+            # the owner of the key.
+            abandoned = _StartedDelivery(
+                delivery, _make_abandoned_batch(delivery)
+            )
+            self._ports.nursery.start_soon(
+                self._report_outcome, grant, abandoned
+            )
             raise
-        await self._report(grant, begun)
-        return await self._answer(call, begun)
+        await self._report_outcome(grant, started)
+        return await self._respond(call, started)
 
-    def _make(
+    def _make_delivery(
         self,
         call: GenerationCall,
         generation: str,
         position: Position | None,
     ) -> Delivery:
-        asked = make_delivery_request(
+        delivery_request = make_delivery_request(
             call, generation, position, self._ports.clock.now()
         )
         logger.debug('delivering', request=generation, caller=call.caller.name)
-        return Delivery(self._ports, asked)
+        return Delivery(self._ports, delivery_request)
 
-    async def _report(self, grant: Grant, begun: _Begun) -> None:
-        match begun.first:
+    async def _report_outcome(
+        self, grant: Grant, started: _StartedDelivery
+    ) -> None:
+        match started.first:
             case Broken(problem=NotRun()):
                 await self._keys.release(grant)
             case Broken():
                 await self._keys.settle(grant, RecordPhase.UNKNOWN, None)
             case _:
-                kept = KeptAnswer(origin=begun.delivery.signed_origin)
+                kept = KeptAnswer(origin=started.delivery.signed_origin)
                 await self._keys.settle(grant, RecordPhase.FINISHED, kept)
 
-    async def _answer(self, call: GenerationCall, begun: _Begun) -> Response:
-        delivery = begun.delivery
-        if call.body.stream and isinstance(begun.first, tuple):
-            return stream_answer(delivery, begun.first)
+    async def _respond(
+        self, call: GenerationCall, started: _StartedDelivery
+    ) -> Response:
+        delivery = started.delivery
+        if call.body.stream and isinstance(started.first, tuple):
+            return stream_response(delivery, started.first)
         try:
-            return await collect_answer(
-                delivery, begun.first, self._ports.clock
+            return await collect_response(
+                delivery, started.first, self._ports.clock
             )
         finally:
             delivery.close()
 
 
-def _describe_abandoned(delivery: Delivery) -> Batch:
+def _make_abandoned_batch(delivery: Delivery) -> Batch:
     if not delivery.state.upstream:
         return Broken(NotRun(NotRunReason.NO_UPSTREAM, 0))
     return ()
 
 
-async def _begin(delivery: Delivery) -> _Begun:
+async def _start_delivery(delivery: Delivery) -> _StartedDelivery:
     try:
         refusal = await delivery.start()
         if refusal is not None:
-            return _Begun(delivery, Broken(refusal))
-        return _Begun(delivery, await delivery.next_batch())
+            return _StartedDelivery(delivery, Broken(refusal))
+        return _StartedDelivery(delivery, await delivery.next_batch())
     except BaseException:
         delivery.close()
         raise
--- a/src/cartdale/callers/keyed.py
+++ b/src/cartdale/callers/keyed.py
@@ -1,4 +1,4 @@
-"""Guard a request by its idempotency key."""
+"""Admit requests by their idempotency keys."""
 
 from dataclasses import dataclass
 from secrets import token_hex
@@ -36,9 +36,9 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyedRequest:
-    """Describe a request that carries an idempotency key.
+    """Parts of a request that its idempotency key binds.
 
-    :param once: whether it must not run a second time.
+    :param once: whether the request must not run a second time.
     """
 
     customer: str
@@ -50,10 +50,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Grant:
-    """Allow one attempt.
+    """Permission to run a request.
 
-    :param key: customer, service and key together; empty without a key.
-    :param fence: epoch for upstreams that check it; 0 for none.
+    :param key: customer, service and key, joined; empty without a key.
+    :param fence: fencing epoch for upstreams that check it; 0 for none.
     """
 
     key: str = ''
@@ -62,79 +62,90 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Repeated:
-    """The key ran before, or runs now; this is what it answers."""
+class Replay:
+    """Kept response of a key whose request has run or is running."""
 
     answer: KeptAnswer
 
 
-Admission = Grant | Repeated
+Admission = Grant | Replay
 
 
 class KeyGuard:
-    """Admit keyed requests once, and report how they went."""
+    """Admit each key once and report the outcome to the key's owner."""
 
     def __init__(self, claimer: Claimer) -> None:
         self._claimer = claimer
 
-    async def admit(self, asked: KeyedRequest) -> Result[Admission, Problem]:
-        """Claim the key, if there is one."""
-        if not asked.key:
+    async def admit(
+        self, keyed_request: KeyedRequest
+    ) -> Result[Admission, Problem]:
+        """Claim the key; grant a request without a key unconditionally."""
+        if not keyed_request.key:
             return Success(Grant())
-        fault = _find_fault(asked)
-        if fault is not None:
-            return Failure(fault)
-        parts = (asked.customer, asked.service, asked.key)
+        invalid = _validate(keyed_request)
+        if invalid is not None:
+            return Failure(invalid)
+        parts = (
+            keyed_request.customer,
+            keyed_request.service,
+            keyed_request.key,
+        )
         claim = Claim(
             key=_SEPARATOR.join(parts),
             claim_id=token_hex(_CLAIM_BYTES),
-            body_digest=asked.body_digest,
-            key_wall_ms=read_key_time(asked.key),
-            once=asked.once,
+            body_digest=keyed_request.body_digest,
+            key_wall_ms=read_key_time(keyed_request.key),
+            once=keyed_request.once,
         )
         answer = await self._claimer.claim(claim)
         match answer:
-            case Success(found):
-                return _judge(claim, found)
-        return _without_owner(asked)
+            case Success(claim_answer):
+                return _apply_verdict(claim, claim_answer)
+        return _admit_without_owner(keyed_request)
 
     async def settle(
         self, grant: Grant, phase: RecordPhase, answer: KeptAnswer | None
     ) -> None:
-        """Report how an attempt stands or ended."""
+        """Report the phase and the response of an admitted request."""
         if grant.key:
             settled = Settle(grant.key, grant.claim_id, phase, answer)
             await self._claimer.report(settled)
 
     async def release(self, grant: Grant) -> None:
-        """Report that an attempt certainly did not run."""
+        """Release the key of a request that was certainly not executed."""
         if grant.key:
             await self._claimer.report(Release(grant.key, grant.claim_id))
 
 
-def _find_fault(asked: KeyedRequest) -> BadRequest | None:
-    if len(asked.key) > LONGEST_KEY or _SEPARATOR in asked.key:
+def _validate(keyed_request: KeyedRequest) -> BadRequest | None:
+    if len(keyed_request.key) > LONGEST_KEY or _SEPARATOR in keyed_request.key:
         return BadRequest(HEADER_KEY, f'at most {LONGEST_KEY} characters')
-    if asked.once and not read_key_time(asked.key):
+    if keyed_request.once and not read_key_time(keyed_request.key):
         return BadRequest(
             HEADER_KEY, 'a UUID version 7, as this service never repeats'
         )
     return None
 
 
-def _without_owner(asked: KeyedRequest) -> Result[Admission, Problem]:
-    if asked.once:
+def _admit_without_owner(
+    keyed_request: KeyedRequest,
+) -> Result[Admission, Problem]:
+    if keyed_request.once:
         return Failure(NotRun(NotRunReason.NO_OWNER, _OWNER_RETRY))
-    # It may be repeated: an answer now is worth more than a single run.
+    # The request is safe to repeat, so availability comes before
+    # deduplication.
     return Success(Grant())
 
 
-def _judge(claim: Claim, answer: ClaimAnswer) -> Result[Admission, Problem]:
+def _apply_verdict(
+    claim: Claim, answer: ClaimAnswer
+) -> Result[Admission, Problem]:
     match answer.verdict:
         case Verdict.GRANTED:
             return Success(Grant(claim.key, claim.claim_id, answer.fence))
         case Verdict.RUNNING | Verdict.FINISHED:
-            return _repeat(answer)
+            return _make_replay(answer)
         case Verdict.CONFLICT:
             return Failure(KeyConflict())
         case Verdict.KEY_AHEAD:
@@ -147,9 +158,9 @@
             )
 
 
-def _repeat(answer: ClaimAnswer) -> Result[Admission, Problem]:
+def _make_replay(answer: ClaimAnswer) -> Result[Admission, Problem]:
     if answer.answer is not None:
-        return Success(Repeated(answer.answer))
+        return Success(Replay(answer.answer))
     if answer.verdict is Verdict.RUNNING:
         return Failure(InProgress(_RETRY_AFTER))
     return Failure(OutcomeUnknown('it ran; its answer was too large to keep'))
--- a/src/cartdale/callers/plain.py
+++ b/src/cartdale/callers/plain.py
@@ -1,4 +1,4 @@
-"""Serve calls to plain services: limits, keys, retries where allowed."""
+"""Serve calls to plain services, with idempotency keys and retries."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, replace
@@ -12,7 +12,7 @@
     Grant,
     KeyedRequest,
     KeyGuard,
-    Repeated,
+    Replay,
 )
 from cartdale.callers.read import digest_body
 from cartdale.callers.respond import make_problem_response
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlainCall:
-    """Hold a checked call to a plain service."""
+    """Validated call to a plain service."""
 
     caller: Caller
     service_name: str
@@ -50,10 +50,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PlainPorts:
-    """Bundle what plain calls use of their instance.
+    """Dependencies of plain calls on the instance.
 
-    :param upstream_of: finds a declared upstream.
-    :param connect: makes the adapter of an upstream.
+    :param upstream_of: returns a declared upstream by name.
+    :param connect: creates the adapter of an upstream.
     """
 
     upstream_of: Callable[[str], Upstream | None]
@@ -67,13 +67,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Attempted:
-    """Hold how an attempt ended.
+class _AttemptResult:
+    """Result of an attempt.
 
-    :param sent: whether the upstream may have run it.
+    :param sent: whether the upstream may have executed the request.
     """
 
-    answer: PlainResponse | None
+    response: PlainResponse | None
     sent: bool
 
 
@@ -84,49 +84,51 @@
         self._ports = ports
 
     async def serve(self, call: PlainCall) -> Response:
-        """Answer one call."""
+        """Return the response to a call."""
         once = call.service.repeat is Repeat.NEVER
         admitted = await self._ports.keys.admit(
             KeyedRequest(
                 customer=call.caller.name,
                 service=call.service_name,
                 key=call.request.key,
-                body_digest=digest_body(_identity(call.request)),
+                body_digest=digest_body(_serialize_request(call.request)),
                 once=once,
             ),
         )
         match admitted:
             case Failure(problem):
                 return make_problem_response(problem)
-            case Success(Repeated(answer=kept)):
-                return _answer(
+            case Success(Replay(answer=kept)):
+                return _make_response(
                     PlainResponse(kept.status, kept.content_type, kept.body)
                 )
             case Success(Grant() as grant):
                 return await self._run(call, grant)
-        return make_problem_response(_not_run())
+        return make_problem_response(_make_default_refusal())
 
     async def _run(self, call: PlainCall, grant: Grant) -> Response:
-        watch = RunTracker(
-            self._ports.quarantine, _identify(call), call.request.key
+        tracker = RunTracker(
+            self._ports.quarantine, _compute_identity(call), call.request.key
         )
-        attempted = await self._attempt_all(call, grant, watch)
-        if attempted.answer is not None:
+        attempt = await self._attempt_all(call, grant, tracker)
+        if attempt.response is not None:
             await self._ports.keys.settle(
-                grant, RecordPhase.FINISHED, _keep(attempted.answer)
+                grant, RecordPhase.FINISHED, _make_kept_answer(attempt.response)
             )
-            return _answer(attempted.answer)
-        if attempted.sent:
+            return _make_response(attempt.response)
+        if attempt.sent:
             await self._ports.keys.settle(grant, RecordPhase.UNKNOWN, None)
             return make_problem_response(
                 OutcomeUnknown('the upstream was lost')
             )
         await self._ports.keys.release(grant)
-        refusal = watch.find_refusal()
-        return make_problem_response(refusal or self._refuse(call.service))
+        refusal = tracker.find_refusal()
+        return make_problem_response(
+            refusal or self._make_refusal(call.service)
+        )
 
-    def _refuse(self, service: Service) -> Problem:
-        """Say when to come back: not before the first rest ends."""
+    def _make_refusal(self, service: Service) -> Problem:
+        """Return a refusal whose delay covers the shortest back-off."""
         backoffs = [
             self._ports.backoffs.remaining(name) for name in service.upstreams
         ]
@@ -134,66 +136,66 @@
         return NotRun(NotRunReason.REFUSED, wait)
 
     async def _attempt_all(
-        self, call: PlainCall, grant: Grant, watch: RunTracker
-    ) -> _Attempted:
+        self, call: PlainCall, grant: Grant, tracker: RunTracker
+    ) -> _AttemptResult:
         ever_sent = False
         may_repeat = call.service.repeat is Repeat.ALLOWED
-        for index, name in enumerate(self._order(call.service)):
-            if not self._may_attempt(call, name, watch, first=not index):
+        for index, name in enumerate(self._shuffle_upstreams(call.service)):
+            if not self._may_attempt(call, name, tracker, first=not index):
                 break
             check_invariant(
                 AT_MOST_ONCE,
                 holds=may_repeat or not ever_sent,
                 detail=f'{call.service_name} would run again on {name}',
             )
-            attempted = await self._attempt(call, name, grant, watch)
-            ever_sent = ever_sent or attempted.sent
-            finished = attempted.answer is not None
-            if finished or (attempted.sent and not may_repeat):
-                return attempted
-        return _Attempted(None, ever_sent)
+            attempt = await self._attempt(call, name, grant, tracker)
+            ever_sent = ever_sent or attempt.sent
+            finished = attempt.response is not None
+            if finished or (attempt.sent and not may_repeat):
+                return attempt
+        return _AttemptResult(None, ever_sent)
 
     def _may_attempt(
-        self, call: PlainCall, name: str, watch: RunTracker, *, first: bool
+        self, call: PlainCall, name: str, tracker: RunTracker, *, first: bool
     ) -> bool:
-        """Tell whether an attempt may be made; a repeat is paid for."""
-        if watch.find_refusal() is not None:
+        """Return whether to attempt; a retry is charged to the budget."""
+        if tracker.find_refusal() is not None:
             return False
         return first or self._ports.budget.withdraw(call.caller.name, name)
 
     async def _attempt(
-        self, call: PlainCall, name: str, grant: Grant, watch: RunTracker
-    ) -> _Attempted:
+        self, call: PlainCall, name: str, grant: Grant, tracker: RunTracker
+    ) -> _AttemptResult:
         upstream = self._ports.upstream_of(name)
         if upstream is None or upstream.draining:
-            return _Attempted(None, sent=False)
+            return _AttemptResult(None, sent=False)
         if self._ports.backoffs.remaining(name):
-            return _Attempted(None, sent=False)
+            return _AttemptResult(None, sent=False)
         self._ports.budget.earn(call.caller.name, name)
         fence = grant.fence if upstream.checks_fence else 0
         service = self._ports.connect(upstream, call.service.deadline_ms)
-        watch.note_sent(self._ports.clock.now())
+        tracker.note_sent(self._ports.clock.now())
         answer = await service.call(replace(call.request, fence=fence))
         match answer:
-            case Success(given):
-                if given.status < HTTPStatus.MULTIPLE_CHOICES:
-                    watch.note_ran_on()
-                return _Attempted(given, sent=True)
+            case Success(response):
+                if response.status < HTTPStatus.MULTIPLE_CHOICES:
+                    tracker.note_ran_on()
+                return _AttemptResult(response, sent=True)
             case Failure(LinkLost()):
                 if await service.is_unreachable():
-                    watch.note_lost(name)
-                return _Attempted(None, sent=True)
+                    tracker.note_lost(name)
+                return _AttemptResult(None, sent=True)
             case Failure(EngineRefused(backoff=backoff)):
                 self._ports.backoffs.note(name, backoff)
-        return _Attempted(None, sent=False)
+        return _AttemptResult(None, sent=False)
 
-    def _order(self, service: Service) -> list[str]:
+    def _shuffle_upstreams(self, service: Service) -> list[str]:
         names = list(service.upstreams)
         self._ports.generator.shuffle(names)
         return names
 
 
-def _identify(call: PlainCall) -> Identity:
+def _compute_identity(call: PlainCall) -> Identity:
     request = call.request
     return identify(
         request.method,
@@ -204,22 +206,22 @@
     )
 
 
-def _identity(request: PlainRequest) -> bytes:
+def _serialize_request(request: PlainRequest) -> bytes:
     head = f'{request.method} {request.path}\n'.encode()
     return head + request.body
 
 
-def _keep(answer: PlainResponse) -> KeptAnswer | None:
+def _make_kept_answer(answer: PlainResponse) -> KeptAnswer | None:
     if len(answer.body) > ANSWER_LIMIT:
         return None
     return KeptAnswer(answer.status, answer.content_type, answer.body)
 
 
-def _answer(answer: PlainResponse) -> Response:
+def _make_response(answer: PlainResponse) -> Response:
     return Response(
         answer.body, status=answer.status, content_type=answer.content_type
     )
 
 
-def _not_run() -> Problem:
+def _make_default_refusal() -> Problem:
     return NotRun(NotRunReason.REFUSED, _RETRY_AFTER)
--- a/src/cartdale/callers/read.py
+++ b/src/cartdale/callers/read.py
@@ -1,4 +1,4 @@
-"""Read a caller's request into typed messages, or a typed refusal."""
+"""Parse and validate requests from callers."""
 
 import hashlib
 import math
@@ -33,9 +33,9 @@
 
 @dataclass(frozen=True, slots=True)
 class GenerationCall:
-    """Hold a checked request for a generation.
+    """Validated request for a generation.
 
-    :param path: the path the caller used, which the engine serves too.
+    :param path: path of the request; the engine serves the same path.
     """
 
     caller: Caller
@@ -49,7 +49,7 @@
 def identify_caller(
     directory: Directory, authorization: str
 ) -> Result[Caller, Problem]:
-    """Find the customer that a bearer key belongs to."""
+    """Return the customer that a bearer key belongs to."""
     scheme, _, key = authorization.partition(' ')
     hashed = hashlib.sha256(key.strip().encode()).hexdigest()
     caller = directory.callers_by_hash.get(hashed)
@@ -61,7 +61,7 @@
 def read_generation(
     directory: Directory, caller: Caller, path: str, raw: bytes
 ) -> Result[GenerationCall, Problem]:
-    """Check a completion request and find its service."""
+    """Validate a completion request and find its service."""
     try:
         body = decode_json(raw, GenerationBody)
     except msgspec.MsgspecError as error:
@@ -80,7 +80,7 @@
 def read_position(
     position_signer: PositionSigner, text: str, call: GenerationCall
 ) -> Result[Position | None, Problem]:
-    """Open the position of a caller who resumes an answer.
+    """Verify the position from which a caller resumes a stream.
 
     :param text: the ``Last-Event-ID`` header; empty for a new request.
     """
@@ -96,7 +96,7 @@
 
 
 def make_generation_id() -> str:
-    """Return a new generation id that nobody can guess."""
+    """Return a new, unpredictable generation id."""
     return token_hex(_GENERATION_BYTES)
 
 
@@ -106,8 +106,8 @@
     position: Position | None,
     now: Millis,
 ) -> DeliveryRequest:
-    """Describe the work and the delivery of a checked request."""
-    text = _full_text(call.body)
+    """Build the delivery request of a validated request."""
+    text = _join_prompt_text(call.body)
     prompt_tokens = max(1, len(text) // _CHARACTERS_PER_TOKEN)
     prefix = text[:_PREFIX_CHARACTERS]
     priority = call.caller.customer.priority * _PRIORITY_STEP
@@ -147,29 +147,29 @@
 
 
 def digest_body(raw: bytes) -> str:
-    """Return the short digest by which a body is recognised."""
+    """Return the shortened digest that identifies a request body."""
     return digest(raw)[:_BODY_DIGITS]
 
 
 def derive_seed(generation: str) -> int:
-    """Derive the sampling seed from a first generation id."""
+    """Derive the sampling seed from the id of the first generation."""
     first = generation.partition('-')[0]
     return int(digest(first.encode())[:_SEED_DIGITS], _HEXADECIMAL)
 
 
 def _find_service(
-    directory: Directory, caller: Caller, wanted: str
+    directory: Directory, caller: Caller, model: str
 ) -> str | None:
     for name in caller.customer.services:
         service = directory.services_by_name.get(name)
         if service is None or service.kind is not UpstreamKind.ENGINE:
             continue
-        if wanted in {name, service.model}:
+        if model in {name, service.model}:
             return name
     return None
 
 
-def _full_text(body: GenerationBody) -> str:
+def _join_prompt_text(body: GenerationBody) -> str:
     if not body.messages:
         return body.prompt
     return '\n'.join(
--- a/src/cartdale/callers/respond.py
+++ b/src/cartdale/callers/respond.py
@@ -1,4 +1,4 @@
-"""Turn answers and problems into HTTP responses."""
+"""Build HTTP responses from generated chunks and problems."""
 
 from collections.abc import AsyncIterator
 from dataclasses import dataclass
@@ -16,12 +16,12 @@
 JSON_TYPE = 'application/json'
 PROBLEM_TYPE = 'application/problem+json'
 STREAM_TYPE = 'text/event-stream'
-_END = b'data: [DONE]\n\n'
+_DONE_EVENT = b'data: [DONE]\n\n'
 
 
 @dataclass(frozen=True, slots=True)
-class WholeChoice:
-    """Carry the text of a whole completion."""
+class CompletionChoice:
+    """Text completion inside a non-streaming response."""
 
     index: int
     text: str
@@ -29,25 +29,25 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WholeMessage:
-    """Carry the text of a whole chat answer."""
+class AssistantMessage:
+    """Assistant message inside a non-streaming response."""
 
     role: str
     content: str
 
 
 @dataclass(frozen=True, slots=True)
-class WholeChatChoice:
-    """Carry one chat alternative."""
+class ChatChoice:
+    """Chat completion inside a non-streaming response."""
 
     index: int
-    message: WholeMessage
+    message: AssistantMessage
     finish_reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class Usage:
-    """Count tokens."""
+    """Token counts of a request and its response."""
 
     prompt_tokens: int
     completion_tokens: int
@@ -55,19 +55,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WholeCompletion:
-    """Answer a request that does not stream."""
+class Completion:
+    """Body of the response to a request without streaming."""
 
     id: str
     object: str
     created: int
     model: str
-    choices: tuple[WholeChoice | WholeChatChoice, ...]
+    choices: tuple[CompletionChoice | ChatChoice, ...]
     usage: Usage
 
 
 def make_problem_response(problem: Problem) -> Response:
-    """Answer with an RFC 9457 problem document."""
+    """Return a response with an RFC 9457 problem document."""
     document = describe(problem)
     response = Response(
         encode_json(document),
@@ -80,12 +80,12 @@
 
 
 def make_json_response(message: object) -> Response:
-    """Answer with a data class as JSON."""
+    """Return a response with a data class encoded as JSON."""
     return Response(encode_json(message), content_type=JSON_TYPE)
 
 
-def stream_answer(delivery: Delivery, first: Batch) -> Response:
-    """Answer with server-sent events."""
+def stream_response(delivery: Delivery, first: Batch) -> Response:
+    """Return a response that streams server-sent events."""
     response = Response(
         _stream(delivery, first),
         content_type=STREAM_TYPE,
@@ -99,23 +99,23 @@
     batch = first
     try:
         while isinstance(batch, tuple):
-            yield b''.join(_format(chunk) for chunk in batch)
+            yield b''.join(_format_chunk(chunk) for chunk in batch)
             batch = await delivery.next_batch()
     finally:
         delivery.close()
     match batch:
         case Completed():
-            yield _END
+            yield _DONE_EVENT
         case Broken(problem=problem):
             yield _format_problem(describe(problem))
         case _:
             assert_never(batch)
 
 
-async def collect_answer(
+async def collect_response(
     delivery: Delivery, first: Batch, clock: Clock
 ) -> Response:
-    """Answer with the whole completion at once."""
+    """Wait for the complete generation and return it as one JSON body."""
     texts: list[str] = []
     batch = first
     model = ''
@@ -129,25 +129,25 @@
     if isinstance(batch, Broken):
         return make_problem_response(batch.problem)
     prompt_tokens = delivery.request.work.prompt_tokens
-    whole = WholeCompletion(
+    completion = Completion(
         id=delivery.state.generation,
         object=kind.removesuffix('.chunk'),
         created=clock.wall_time() // SECOND_MS,
         model=model,
-        choices=(_choose_shape(kind, ''.join(texts)),),
+        choices=(_make_choice(kind, ''.join(texts)),),
         usage=Usage(prompt_tokens, len(texts), prompt_tokens + len(texts)),
     )
-    return make_json_response(whole)
+    return make_json_response(completion)
 
 
-def _choose_shape(kind: str, text: str) -> WholeChoice | WholeChatChoice:
+def _make_choice(kind: str, text: str) -> CompletionChoice | ChatChoice:
     if kind.startswith('chat'):
-        message = WholeMessage('assistant', text)
-        return WholeChatChoice(0, message, 'stop')
-    return WholeChoice(0, text, 'stop')
+        message = AssistantMessage('assistant', text)
+        return ChatChoice(0, message, 'stop')
+    return CompletionChoice(0, text, 'stop')
 
 
-def _format(chunk: Chunk) -> bytes:
+def _format_chunk(chunk: Chunk) -> bytes:
     return f'id: {chunk.position}\ndata: {chunk.payload}\n\n'.encode()
 
 
--- a/src/cartdale/callers/types.py
+++ b/src/cartdale/callers/types.py
@@ -1,4 +1,4 @@
-"""Messages of the callers' interface."""
+"""Request bodies and lookup tables of the callers' HTTP interface."""
 
 from dataclasses import dataclass, field
 
@@ -9,16 +9,16 @@
 
 @dataclass(frozen=True, slots=True)
 class ChatMessage:
-    """Carry one message of a chat."""
+    """One message of a chat request."""
 
     role: str = ''
     content: str = ''
 
 
 class GenerationBody(msgspec.Struct, frozen=True, rename={'alternatives': 'n'}):
-    """Carry the fields of a completion request that cartdale reads.
+    """Fields of a completion request that cartdale reads.
 
-    All other fields pass to the engine untouched.
+    All other fields are passed to the engine unchanged.
 
     :param model: name of a service, or of a model that one service runs.
     """
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Caller:
-    """Name who is asking."""
+    """Authenticated customer that sent a request."""
 
     name: str
     customer: Customer
@@ -41,9 +41,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Directory:
-    """Answer who a key belongs to and what a service is.
+    """Look up services by name and customers by API key.
 
-    :param callers_by_hash: customers by the SHA-256 of their keys.
+    :param callers_by_hash: customers by the SHA-256 of their API keys.
     """
 
     services_by_name: dict[str, Service] = field(default_factory=dict)
@@ -51,7 +51,7 @@
 
 
 def make_directory(declared: Declarations) -> Directory:
-    """Index the declarations for look-ups by request."""
+    """Index the declarations for lookups while serving requests."""
     callers_by_hash: dict[str, Caller] = {}
     for name, customer in declared.customers.items():
         for hashed in customer.key_hashes:
--- a/tests/test_refusals_feature.py
+++ b/tests/test_refusals_feature.py
@@ -1,4 +1,8 @@
-"""Steps of the refusals feature."""
+"""Steps of the refusals feature.
+
+A refused request must get a problem document of the right type and status,
+and refused work must not reach the engine.
+"""
 
 import pytest
 from pytest_bdd import given, parsers, scenarios, then, when
@@ -29,22 +33,22 @@
 
 
 @when('a caller without a key asks for a draft')
-def ask_without_key(world: World) -> None:
+def request_without_key(world: World) -> None:
     send(world, '', json=make_body('x'))
 
 
 @when(parsers.parse('a caller asks for a draft of "{model}"'))
-def ask_for(world: World, model: str) -> None:
+def request_model(world: World, model: str) -> None:
     send(world, json=make_body('x [length=3]', model=model))
 
 
 @when('a caller sends a body that is not JSON')
-def send_nonsense(world: World) -> None:
+def send_invalid_json(world: World) -> None:
     send(world, content=b'{"model": ')
 
 
 @when('a caller asks for two drafts at once')
-def ask_twice(world: World) -> None:
+def send_two_requests(world: World) -> None:
     for _ in range(2):
         send(world, json=make_body('x [length=3]', stream=False))
 
@@ -55,7 +59,7 @@
 
 
 @given('a draft may wait 1 second for an engine')
-def shorten_wait(world: World) -> None:
+def shorten_deadline(world: World) -> None:
     bodies = world.stage.declare(service={'deadline_ms': 1000})
     assert world.run(world.stage.confirm, bodies) == 'confirmed'
     world.run(world.stage.wait_revision, 2)
@@ -70,7 +74,7 @@
 
 
 @given('the first instance is leaving')
-def leave(world: World) -> None:
+def start_leaving(world: World) -> None:
     world.portal.call(world.stage.runtimes[0].leave)
 
 
@@ -82,7 +86,9 @@
 
 
 @given('the program has a fault')
-def break_program(world: World, monkeypatch: pytest.MonkeyPatch) -> None:
+def inject_invariant_error(
+    world: World, monkeypatch: pytest.MonkeyPatch
+) -> None:
     def fail(*_: object) -> None:
         raise InvariantError('right_caller', 'a test')
 
