--- a/tests/test_notices.py
+++ b/tests/test_advisories.py
@@ -1,4 +1,4 @@
-"""Notices: what upstreams say of themselves beside an answer."""
+"""Advisories: drain, back-off and rate-limit headers of responses."""
 
 from math import inf
 
@@ -10,24 +10,24 @@
 from cartdale.platform.exchanges import read_advisory
 
 
-def answer(status: int, **headers: str) -> httpcore.Response:
-    named = [
+def make_response(status: int, **headers: str) -> httpcore.Response:
+    raw_headers = [
         (name.replace('_', '-').encode(), text.encode())
         for name, text in headers.items()
     ]
-    return httpcore.Response(status, headers=named)
+    return httpcore.Response(status, headers=raw_headers)
 
 
 @pytest.mark.parametrize('status', [200, 404, 500, 503])
-def test_any_answer_may_say_that_its_upstream_leaves(status: int) -> None:
-    assert read_advisory(answer(status, Server_Leaving='1')).leaving
-    assert not read_advisory(answer(status, Server_Leaving='0')).leaving
-    assert not read_advisory(answer(status)).leaving
+def test_leaving_is_read_from_any_status(status: int) -> None:
+    assert read_advisory(make_response(status, Server_Leaving='1')).leaving
+    assert not read_advisory(make_response(status, Server_Leaving='0')).leaving
+    assert not read_advisory(make_response(status)).leaving
 
 
-def test_another_upstream_at_the_address_says_nothing_of_this_one() -> None:
-    other = answer(421, Server_Leaving='1', Retry_After='3')
-    assert read_advisory(other) == Advisory()
+def test_misdirected_response_carries_no_advisory() -> None:
+    misdirected = make_response(421, Server_Leaving='1', Retry_After='3')
+    assert read_advisory(misdirected) == Advisory()
 
 
 @pytest.mark.parametrize(
@@ -45,13 +45,13 @@
         ('Wed, 21 Oct 2026 07:28:00 GMT', 0),
     ],
 )
-def test_rest_is_read_in_seconds(asked: str, rest: int) -> None:
-    assert read_advisory(answer(503, Retry_After=asked)).backoff == rest
+def test_backoff_is_read_in_seconds(asked: str, rest: int) -> None:
+    assert read_advisory(make_response(503, Retry_After=asked)).backoff == rest
 
 
-def test_only_who_turns_a_request_away_for_now_asks_for_rest() -> None:
-    assert not read_advisory(answer(429, Retry_After='3')).backoff
-    assert not read_advisory(answer(500, Retry_After='3')).backoff
+def test_retry_after_of_other_statuses_requests_no_backoff() -> None:
+    assert not read_advisory(make_response(429, Retry_After='3')).backoff
+    assert not read_advisory(make_response(500, Retry_After='3')).backoff
 
 
 @pytest.mark.parametrize(
@@ -73,7 +73,7 @@
         (('few',), None),
     ],
 )
-def test_limit_is_read_in_requests_a_second(
+def test_limit_is_read_in_requests_per_second(
     named: tuple[str, ...], limit: float | None
 ) -> None:
     headers = [(b'Server-Limit', text.encode()) for text in named]
@@ -82,9 +82,9 @@
 
 
 @pytest.mark.parametrize('status', [200, 404, 500, 503])
-def test_any_answer_may_name_a_limit(status: int) -> None:
-    assert read_advisory(answer(status, Server_Limit='3.1')).limit == 3.1
+def test_limit_is_read_from_any_status(status: int) -> None:
+    assert read_advisory(make_response(status, Server_Limit='3.1')).limit == 3.1
 
 
-def test_another_upstream_at_the_address_does_not_tell_a_limit() -> None:
-    assert read_advisory(answer(421, Server_Limit='3.1')).limit is None
+def test_misdirected_response_carries_no_limit() -> None:
+    assert read_advisory(make_response(421, Server_Limit='3.1')).limit is None
--- a/tests/test_outlook.py
+++ b/tests/test_wait_forecast.py
@@ -1,4 +1,4 @@
-"""When a full service has room, and who waits for it."""
+"""The forecast of when a full service frees capacity, and admission by it."""
 
 import pytest
 import trio
@@ -19,49 +19,54 @@
 FULL = Load(runs=4, tokens=9600, growth=400, long=4)
 
 
-def look(
+def forecast_for(
     loads: dict[str, Load], needs: RequestNeeds = NEED, ahead: int = 0
 ) -> WaitForecast:
     state = make_fleet(*sorted(loads), slots=64)
-    around = ChoiceContext(SPEC, loads, 'west', 0)
-    return forecast_wait(list_candidates(state, needs), needs, around, ahead)
+    context = ChoiceContext(SPEC, loads, 'west', 0)
+    return forecast_wait(list_candidates(state, needs), needs, context, ahead)
 
 
-def test_room_that_is_there_needs_no_end() -> None:
-    forecast = look({'a': FULL, 'b': Load(runs=1, tokens=900, growth=100)})
+def test_free_capacity_needs_no_completion() -> None:
+    forecast = forecast_for(
+        {'a': FULL, 'b': Load(runs=1, tokens=900, growth=100)}
+    )
     assert forecast.ends == 0
     assert forecast.chance(0) == 1
     assert forecast.expected_wait() == 0
 
 
-def test_ends_come_at_the_rate_of_what_is_left_to_make() -> None:
-    # Each of four makes 100 tokens more, at 9 ms a token.
-    forecast = look({'a': FULL})
+def test_completion_rate_follows_the_remaining_tokens() -> None:
+    # Each of 4 runs generates 100 more tokens, at 9 ms per token.
+    forecast = forecast_for({'a': FULL})
     assert forecast.ends == 1
     assert forecast.rate == pytest.approx(4 / 900)
     assert forecast.expected_wait() == 225
     assert forecast.chance(225) == pytest.approx(0.632, abs=0.01)
 
 
-def test_those_ahead_are_served_before() -> None:
-    waits = [look({'a': FULL}, ahead=ahead).ends for ahead in range(4)]
+def test_requests_ahead_in_the_queue_are_served_first() -> None:
+    waits = [forecast_for({'a': FULL}, ahead=ahead).ends for ahead in range(4)]
     assert waits == [1, 2, 3, 4]
 
 
-def test_more_engines_bring_room_sooner() -> None:
-    one, two = look({'a': FULL}), look({'a': FULL, 'b': FULL})
-    assert two.chance(100) > one.chance(100)
+def test_more_engines_free_capacity_sooner() -> None:
+    one_engine, two_engines = (
+        forecast_for({'a': FULL}),
+        forecast_for({'a': FULL, 'b': FULL}),
+    )
+    assert two_engines.chance(100) > one_engine.chance(100)
 
 
-def test_nothing_is_foreseen_without_upstreams() -> None:
-    forecast = look({})
+def test_no_wait_is_forecast_without_upstreams() -> None:
+    forecast = forecast_for({})
     assert forecast.expected_wait() is None
     assert forecast.chance(10**6) == 0
 
 
-def test_prompts_that_wait_are_read_for_sure() -> None:
+def test_queued_prompts_are_read_with_certainty() -> None:
     needs = RequestNeeds('s', 900, 100, reads=900, read_within=1000)
-    forecast = look({'a': Load(runs=2, tokens=9, reading=9100)}, needs)
+    forecast = forecast_for({'a': Load(runs=2, tokens=9, reading=9100)}, needs)
     assert forecast.ends == 0
     assert forecast.chance(forecast.reading - 1) == 0
     assert forecast.chance(forecast.reading) == 1
@@ -84,12 +89,12 @@
     return fleet
 
 
-def make_waiting(clock: SystemClock, longest: int, priority=0) -> Waiting:
+def make_waiting(clock: SystemClock, timeout: int, priority=0) -> Waiting:
     now = clock.now()
-    return Waiting('r', NEED, priority, now, now + longest)
+    return Waiting('r', NEED, priority, now, now + timeout)
 
 
-async def test_request_that_will_not_be_served_is_refused_at_once(
+async def test_request_unlikely_to_be_served_is_refused_at_once(
     autojump_clock,
 ) -> None:
     clock = SystemClock()
@@ -101,7 +106,7 @@
     assert 225 <= refused.retry_after <= 338
 
 
-async def test_request_that_will_be_served_waits_for_room(
+async def test_request_likely_to_be_served_waits_for_capacity(
     autojump_clock,
 ) -> None:
     clock = SystemClock()
@@ -121,7 +126,7 @@
     assert placed[0].entry.upstream == 'a'
 
 
-async def test_urgent_request_goes_before_one_that_waits(
+async def test_urgent_request_overtakes_a_waiting_request(
     autojump_clock,
 ) -> None:
     clock = SystemClock()
@@ -143,13 +148,13 @@
     assert order == [0, 1]
 
 
-async def test_request_is_refused_once_its_chance_is_gone(
+async def test_waiting_request_is_refused_once_its_chance_is_gone(
     autojump_clock,
 ) -> None:
     clock = SystemClock()
     fleet = make_full_fleet(clock)
     admission = Admission(fleet, clock, 1)
-    began = clock.now()
+    started_at = clock.now()
     async with trio.open_nursery() as nursery:
 
         async def grow() -> None:
@@ -160,4 +165,4 @@
         nursery.start_soon(grow)
         refused = await admission.place(make_waiting(clock, 1500))
     assert isinstance(refused, NoCapacity)
-    assert clock.now() - began < 500
+    assert clock.now() - started_at < 500
