--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -1,4 +1,4 @@
-"""Which rate limit of an upstream is in force, where answers cross."""
+"""The rate limit in force when responses of an upstream arrive out of order."""
 
 from math import inf
 
@@ -6,7 +6,7 @@
 
 from cartdale.fleet.rate_limits import UNLIMITED, RateLimit, merge_limits
 
-#: Named in an answer whose request was sent at 100 and whose head came at 200.
+#: From a response whose request was sent at 100 and headers arrived at 200.
 KNOWN = RateLimit(3, 100, 200)
 
 
@@ -19,7 +19,7 @@
         pytest.param(RateLimit(1, 150, 190), id='lowered, or was lower before'),
     ],
 )
-def test_the_newer_limit_is_in_force(named: RateLimit) -> None:
+def test_newer_limit_is_in_force(named: RateLimit) -> None:
     assert merge_limits(KNOWN, named) == named
 
 
@@ -32,18 +32,20 @@
         pytest.param(RateLimit(1, 0, 50), id='lower, but surely older'),
     ],
 )
-def test_what_may_be_older_does_not_ease_a_limit(named: RateLimit) -> None:
+def test_possibly_older_limit_does_not_raise_the_known_one(
+    named: RateLimit,
+) -> None:
     assert merge_limits(KNOWN, named) == KNOWN
 
 
-def test_a_limit_that_is_named_again_is_known_for_longer() -> None:
-    again = merge_limits(KNOWN, RateLimit(3, 150, 900))
-    assert again == RateLimit(3, 150, 900)
-    assert merge_limits(again, RateLimit(inf, 850, 1000)) == again
+def test_repeated_limit_extends_the_time_it_is_known() -> None:
+    repeated = merge_limits(KNOWN, RateLimit(3, 150, 900))
+    assert repeated == RateLimit(3, 150, 900)
+    assert merge_limits(repeated, RateLimit(inf, 850, 1000)) == repeated
     assert merge_limits(KNOWN, RateLimit(3, 150, 300)) is KNOWN
 
 
-def test_answers_of_before_its_end_do_not_bring_a_limit_back() -> None:
+def test_responses_from_before_its_end_do_not_restore_a_limit() -> None:
     ended = merge_limits(KNOWN, RateLimit(inf, 250, 260))
     assert merge_limits(ended, RateLimit(3, 120, 240)) == ended
     assert merge_limits(UNLIMITED, KNOWN) == KNOWN
