--- a/tests/test_upstream_lives.py
+++ b/tests/test_upstream_lives.py
@@ -1,4 +1,4 @@
-"""An upstream that starts again under its id, and entries of other writers."""
+"""Restarts of an upstream under the same id, and entries of other writers."""
 
 from types import MappingProxyType
 
@@ -58,7 +58,7 @@
     return decide(state, EntryWritten(entry, from_peer=from_peer), now)
 
 
-def test_a_new_life_begins_anew() -> None:
+def test_new_incarnation_starts_with_fresh_state() -> None:
     state = make_fleet('a', born=1)
     for _ in range(3):
         ended = RequestEnded('a', good=False, reached=False)
@@ -73,7 +73,7 @@
 
 
 @pytest.mark.parametrize('from_peer', [False, True])
-def test_an_upstream_that_left_may_start_again(from_peer: bool) -> None:
+def test_upstream_that_left_may_restart(from_peer: bool) -> None:
     state = make_fleet('a', born=1)
     state, _ = write(state, 1, 100, lifecycle=Lifecycle.LEAVING)
     state, _ = write(state, 1, 200, from_peer=from_peer)
@@ -82,24 +82,24 @@
     assert state.upstreams_by_id['a'].lifecycle is Lifecycle.LIVE
 
 
-def test_peers_that_know_only_the_life_before_change_nothing() -> None:
+def test_peer_reports_of_the_previous_incarnation_are_ignored() -> None:
     state, _ = write(make_fleet('a', born=1), 2, 100)
     assert write(state, 1, 200, lifecycle=Lifecycle.LEAVING) == (state, ())
-    gone = EntryRemoved('a', from_peer=True, born=1)
-    assert decide(state, gone, 200) == (state, ())
-    assert decide(state, gone, 100 + PEER_REPORT_IGNORED_MS) == (state, ())
+    removal = EntryRemoved('a', from_peer=True, born=1)
+    assert decide(state, removal, 200) == (state, ())
+    assert decide(state, removal, 100 + PEER_REPORT_IGNORED_MS) == (state, ())
 
 
-def test_a_peer_tells_at_once_that_the_new_life_leaves() -> None:
-    """It drained half a second after its start, and one did not hear."""
+def test_peer_report_that_the_new_incarnation_leaves_is_applied() -> None:
+    """Guards against ignoring a drain that begins 0.5 s after the start."""
     state, _ = write(make_fleet('a', born=1), 2, 100)
-    gone = EntryRemoved('a', from_peer=True, born=2)
-    after, actions = decide(state, gone, 200)
+    removal = EntryRemoved('a', from_peer=True, born=2)
+    after, actions = decide(state, removal, 200)
     assert after.upstreams_by_id['a'].lifecycle is Lifecycle.LEAVING
     assert actions == (BeganLeaving('a'),)
 
 
-def test_news_tell_which_life_leaves() -> None:
+def test_news_states_which_incarnation_leaves() -> None:
     fleet = Fleet(VirtualClock(), 'west', 1)
     fleet.dispatch(EntryWritten(make_entry('a', born=1)))
     fleet.dispatch(EntryRemoved('a'))
@@ -111,8 +111,8 @@
     assert ApplyLeaving('a', 1) in actions
 
 
-def test_an_upstream_that_says_it_leaves_is_told_as_an_entry() -> None:
-    """One that came back after an outage is not taken as gone on hearsay."""
+def test_announced_departure_is_published_as_an_entry() -> None:
+    """An upstream back after an outage does not leave by peer reports alone."""
     fleet = Fleet(VirtualClock(), 'west', 1)
     fleet.dispatch(EntryWritten(make_entry('a')))
     fleet.dispatch(EntryWritten(make_entry('a', lifecycle=Lifecycle.LEAVING)))
@@ -121,7 +121,7 @@
     assert [each.lifecycle for each in news.entries] == [Lifecycle.LEAVING]
 
 
-def test_an_entry_without_birth_is_the_same_life() -> None:
+def test_entry_without_birth_is_the_same_incarnation() -> None:
     state = make_fleet('a', born=1)
     state, actions = write(state, 0, 100)
     assert not actions
@@ -130,7 +130,7 @@
     assert not decide(state, listed, 200)[1]
 
 
-async def test_a_backup_is_gone_with_the_life_that_kept_it() -> None:
+async def test_backup_is_lost_with_the_incarnation_that_held_it() -> None:
     async with open_platform(engines=2, proxied=True) as stage:
         mover = stage.runtimes[0].mover
         async with draft_meanwhile(stage, 'r1'):
@@ -139,8 +139,8 @@
             )
             generation = mover.list_generations()[0]
             engines_by_name = {each.name: each for each in stage.engines}
-            keeper = engines_by_name[generation.backup]
-            keeper.crash('another')
+            backup_holder = engines_by_name[generation.backup]
+            backup_holder.crash('another')
             await until(lambda: not generation.backup)
 
 
@@ -162,7 +162,7 @@
         {'version': None},
     ],
 )
-def test_entries_of_other_writers_name_no_upstream(changes: dict) -> None:
+def test_invalid_entries_of_other_writers_are_rejected(changes: dict) -> None:
     raw = encode_json({**STORED, **changes})
     with pytest.raises(BadDocumentError) as caught:
         decode_upstream('servers/i', raw)
@@ -170,18 +170,18 @@
 
 
 @pytest.mark.parametrize('missing', sorted(STORED.keys() - {'born'}))
-def test_entries_that_lack_a_field_name_no_upstream(missing: str) -> None:
+def test_entries_without_a_required_field_are_rejected(missing: str) -> None:
     stored = {name: STORED[name] for name in STORED if name != missing}
     with pytest.raises(BadDocumentError):
         decode_upstream('servers/i', encode_json(stored))
 
 
 @pytest.mark.parametrize('raw', [b'', b'\xff\xfe', b'[]', b'null', b'{"a":'])
-def test_bytes_that_cannot_be_read_name_no_upstream(raw: bytes) -> None:
+def test_undecodable_bytes_are_unreadable(raw: bytes) -> None:
     assert isinstance(decode_change(Entry('servers/i', raw, 1, 1)), Unreadable)
 
 
-async def test_other_entries_hold_beside_one_that_cannot_be_read() -> None:
+async def test_unreadable_entry_does_not_affect_other_entries() -> None:
     async with open_platform(engines=2) as stage:
         runtime = stage.runtimes[0]
         stage.store.put('servers/other', {'service': 'writers'})
