--- a/tests/test_limited_admission.py
+++ b/tests/test_limited_admission.py
@@ -1,4 +1,4 @@
-"""Callers of a service whose upstreams all name rate limits."""
+"""Admission to a service whose upstreams advertise rate limits."""
 
 import pytest
 import trio
@@ -13,7 +13,7 @@
 from tests.test_fleet import make_entry
 
 NEED = RequestNeeds('s')
-#: The only instance, and one of two that hear nothing of each other.
+#: An instance that knows of no other instance.
 ALONE = LimitParticipants('i', '', {'': None}, {'i': None})
 SIZE = 300
 
@@ -21,27 +21,27 @@
 def make_limited(
     clock: SystemClock, *limits: float, participants: LimitParticipants = ALONE
 ) -> Fleet:
-    """Return a fleet whose upstreams name these limits, infinite for none."""
+    """Return a fleet whose upstreams have these limits; infinity is none."""
     fleet = Fleet(clock, 'west', 1)
     now = clock.now()
     fleet.limits.gate.divide_among(participants, now)
     for number, per_second in enumerate(limits):
         fleet.dispatch(EntryWritten(make_entry(f'u{number}', slots=1000)))
-        named = RateLimit(per_second, now, now)
-        fleet.dispatch(LimitAdvertised(f'u{number}', named))
+        limit = RateLimit(per_second, now, now)
+        fleet.dispatch(LimitAdvertised(f'u{number}', limit))
     return fleet
 
 
 def spend(fleet: Fleet, upstream: str) -> bool:
-    """Send a request to an upstream, if that may be."""
+    """Spend a permit of an upstream, and return whether one was free."""
     now = SystemClock().now()
     return fleet.limits.gate.spend(upstream, now, resumes=False)
 
 
 async def place_many(
-    fleet: Fleet, count: int, patience: Millis
+    fleet: Fleet, count: int, timeout: Millis
 ) -> tuple[list[Millis], list[NoCapacity]]:
-    """Place requests at one moment; return the waits and the refusals."""
+    """Place requests concurrently; return the waits and the refusals."""
     clock = SystemClock()
     admission = Admission(fleet, clock, 1)
     waits: list[Millis] = []
@@ -49,7 +49,7 @@
 
     async def place(number: int) -> None:
         now = clock.now()
-        waiting = Waiting(f'r{number}', NEED, 0, now, now + patience)
+        waiting = Waiting(f'r{number}', NEED, 0, now, now + timeout)
         placed = await admission.place(waiting)
         if isinstance(placed, NoCapacity):
             refusals.append(placed)
@@ -63,70 +63,74 @@
     return waits, refusals
 
 
-async def test_who_will_be_served_in_time_waits_and_others_do_not(
+async def test_only_requests_that_can_be_served_in_time_wait(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
     fleet = make_limited(SystemClock(), 2)
-    began = trio.current_time()
-    waits, refusals = await place_many(fleet, 30, patience=2600)
+    started_at = trio.current_time()
+    waits, refusals = await place_many(fleet, 30, timeout=2600)
     assert len(waits) == 5
     assert len(refusals) == 25
-    # Spread as the limit says: one in half a second.
+    # Spread according to the limit: one request per 0.5 s.
     assert [round(wait / 500) for wait in sorted(waits)] == [1, 2, 3, 4, 5]
-    assert trio.current_time() - began < 2.7
+    assert trio.current_time() - started_at < 2.7
 
 
-async def test_refused_callers_return_one_after_another(
+async def test_retry_delays_of_refused_requests_are_spread(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
     fleet = make_limited(SystemClock(), 4)
-    _, refusals = await place_many(fleet, 20, patience=100)
-    returns = sorted(each.retry_after for each in refusals)
-    steps = [after - before for before, after in zip(returns, returns[1:])]
+    _, refusals = await place_many(fleet, 20, timeout=100)
+    retry_delays = sorted(each.retry_after for each in refusals)
+    steps = [
+        after - before for before, after in zip(retry_delays, retry_delays[1:])
+    ]
     assert len(refusals) == 20
-    assert min(returns) >= 250
+    assert min(retry_delays) >= 250
     assert min(steps) >= 250
 
 
-async def test_nobody_waits_where_this_instance_has_no_part(
+async def test_no_request_waits_where_the_instance_has_no_share(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
     names = [f'i{number}' for number in range(SIZE)]
-    around = dict.fromkeys(names)
+    instances = dict.fromkeys(names)
     participants = [
-        LimitParticipants(name, '', {'': None}, around) for name in names
+        LimitParticipants(name, '', {'': None}, instances) for name in names
     ]
     clock = SystemClock()
     fleets = [
         make_limited(clock, 1.6, participants=each) for each in participants
     ]
-    without = [each for each in fleets if not each.limits.gate.count_rate()]
-    assert len(without) > SIZE - 10
-    began = trio.current_time()
-    waits, refusals = await place_many(without[0], 3, patience=5000)
+    fleets_without_share = [
+        each for each in fleets if not each.limits.gate.count_rate()
+    ]
+    assert len(fleets_without_share) > SIZE - 10
+    started_at = trio.current_time()
+    waits, refusals = await place_many(fleets_without_share[0], 3, timeout=5000)
     assert not waits
-    assert trio.current_time() == began
+    assert trio.current_time() == started_at
     assert min(each.retry_after for each in refusals) >= 500
-    assert without[0].find_unavailable_reason(NEED) == 'limited'
+    assert fleets_without_share[0].find_unavailable_reason(NEED) == 'limited'
 
 
-async def test_others_take_what_a_limited_upstream_does_not(
+async def test_requests_above_the_limit_go_to_other_upstreams(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
     fleet = make_limited(SystemClock(), 0.5, float('inf'))
-    waits, refusals = await place_many(fleet, 50, patience=100)
+    waits, refusals = await place_many(fleet, 50, timeout=100)
     assert not refusals
     assert max(waits) == 0
 
 
-async def test_a_free_permit_is_used_although_another_upstream_is_better(
+async def test_free_permit_is_used_although_another_upstream_ranks_higher(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
-    """Only an answer tells that a limit has ended.
+    """Guards against a limit that outlives its end, for up to a minute.
 
-    What counted against the upstream kept all requests away: a failed one is
-    forgotten only as others succeed, so that instances whose callers found
-    room elsewhere kept the limit for a minute after its end.
+    Only a response shows that a limit has ended. A failure of the upstream
+    is forgotten only as other requests to it succeed, so an instance with
+    capacity elsewhere sent it no requests and kept the limit.
     """
     fleet = make_limited(SystemClock(), 0.5, float('inf'))
     fleet.dispatch(RequestEnded('u0', good=False, reached=True))
@@ -140,7 +144,7 @@
     assert 0.8 * 10 <= sent <= 10
 
 
-async def test_what_fails_often_is_not_asked_for_the_end_of_its_limit(
+async def test_failing_upstream_is_not_polled_for_the_end_of_its_limit(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
     fleet = make_limited(SystemClock(), 0.5, float('inf'))
@@ -153,19 +157,19 @@
 
 
 @pytest.mark.parametrize('lowered', [1.6, 0])
-async def test_a_limit_that_falls_holds_from_then_on(
+async def test_lowered_limit_applies_at_once(
     lowered: float, autojump_clock: trio.testing.MockClock
 ) -> None:
     clock = SystemClock()
     fleet = make_limited(clock, 6)
     await trio.sleep(6)
-    placed, _ = await place_many(fleet, 50, patience=0)
+    placed, _ = await place_many(fleet, 50, timeout=0)
     assert placed
     now = clock.now()
     fleet.dispatch(LimitAdvertised('u0', RateLimit(lowered, now, now)))
     sent = 0
     for _ in range(400):
-        waits, _ = await place_many(fleet, 1, patience=0)
+        waits, _ = await place_many(fleet, 1, timeout=0)
         sent += len(waits)
         await trio.sleep(0.01)
     assert sent <= lowered * 4 + 1
