--- a/tests/load/limited.py
+++ b/tests/load/limited.py
@@ -1,10 +1,10 @@
-"""Many instances before one upstream with a rate limit, in virtual time.
+"""Simulate many instances that share the rate limit of one upstream.
 
-A model of who sends when: each instance has callers of its own, and knows what
-the others were asked for some moments ago. What is measured is the most that
-the upstream gets in any four seconds, and how much of its limit is used while
-callers are refused. ``python -m tests.load.limited`` prints the ways to divide
-a limit side by side.
+The model runs in virtual time. Each instance has its own callers, and knows
+the demand at the other instances with a delay. It yields the maximum number of
+requests that the upstream receives in any four seconds, and the share of the
+limit that is used while callers are refused. ``python -m tests.load.limited``
+prints a comparison of the ways to divide a limit.
 """
 
 import sys
@@ -24,26 +24,26 @@
 )
 
 UPSTREAM, SERVICE = 'i-limited', 's'
-TICK = 20
-WINDOW = 4000
-#: How old what others offer is, and between looks at it.
+TICK_MS = 20
+WINDOW_MS = 4000
+#: Age of the demand known of other instances, and interval of divisions.
 NEWS_AGE, LOOK_EVERY = 400, 1000
-#: How long a request waits for a permit.
-PATIENCE = 300
-#: With more instances, those of other domains are known as sums.
-MOST_FLAT = 16
+#: Maximum wait of a request for a permit.
+TIMEOUT_MS = 300
+#: With more instances, the demand of other domains is known as sums.
+MAX_FLAT_INSTANCES = 16
 DOMAINS = ('east', 'north', 'south', 'west')
 
 
 class Gate(Protocol):
-    """Say whether an instance may send now, and count it."""
+    """Limits the requests that an instance sends."""
 
     def send(self, now: int) -> bool:
-        """Count a request, if it may be sent."""
+        """Count a request and return true if it may be sent."""
 
 
 class Alone:
-    """Keep to the whole limit at each instance by itself."""
+    """Applies the full limit at each instance independently."""
 
     share = 1.0
 
@@ -61,14 +61,14 @@
 
 
 class EqualPart(Alone):
-    """Save up an equal part of the limit until it makes a request."""
+    """Accumulates an equal share of the limit up to one request."""
 
     def __init__(self, limit: float, size: int, *_: object) -> None:
         super().__init__(limit / size, size)
 
 
 class WholePerSecond:
-    """Divide whole requests a second, as for cold upstreams."""
+    """Divides integral requests per second, as for cold upstreams."""
 
     def __init__(
         self, limit: float, size: int, name: str, names: tuple[str, ...]
@@ -85,7 +85,7 @@
 
 
 class Permitted:
-    """Hold permits, as the program does."""
+    """Divides permits, as the production code does."""
 
     lends = True
 
@@ -101,7 +101,7 @@
 
 
 class PermittedAtHome(Permitted):
-    """Hold permits that nobody is ever lent."""
+    """Divides permits without lending idle ones."""
 
     lends = False
 
@@ -122,20 +122,20 @@
     name: str
     domain: str
     gate: Gate
-    #: Requests a second of its callers.
+    #: Requests per second of its callers.
     demand: float
     meter: DemandMeter = field(default_factory=DemandMeter)
-    told: dict[str, float] | None = None
+    reported_demand: dict[str, float] | None = None
     waiting: list[int] = field(default_factory=list)
-    #: Whether it stands still.
+    #: Whether the instance is paused.
     frozen: bool = False
-    #: Of a partition: it hears of those on its own side.
+    #: Side of a network partition; news arrives from the same side only.
     side: int = 0
 
 
 @dataclass(frozen=True)
 class Outcome:
-    """Hold when requests came, in milliseconds."""
+    """Arrival times of requests at the upstream, in milliseconds."""
 
     limit: float
     sent: list[int]
@@ -143,32 +143,32 @@
 
     @property
     def most(self) -> int:
-        """The most requests in any four seconds."""
+        """The maximum number of requests in any four seconds."""
         return max(
-            sum(start <= at < start + WINDOW for at in self.sent)
+            sum(start <= at < start + WINDOW_MS for at in self.sent)
             for start in self.sent or [0]
         )
 
     @property
     def used(self) -> float:
-        """Part of the limit that was used, after the first four seconds."""
-        counted = sum(at >= WINDOW for at in self.sent)
-        return counted / (self.limit * (self.seconds - WINDOW / 1000))
+        """Share of the limit that was used after the first four seconds."""
+        counted = sum(at >= WINDOW_MS for at in self.sent)
+        return counted / (self.limit * (self.seconds - WINDOW_MS / 1000))
 
     @property
     def allowed(self) -> float:
-        """The most requests in four seconds that an upstream must bear."""
-        return 1.5 * self.limit * WINDOW / 1000 + 5
+        """Maximum number of requests that are allowed in four seconds."""
+        return 1.5 * self.limit * WINDOW_MS / 1000 + 5
 
 
 Event = Callable[[list[Instance], int, Random], None]
 
 
 class Play:
-    """Let callers ask for some seconds.
+    """One simulation of callers and instances.
 
-    :param demands: requests a second of each instance's callers.
-    :param event: done to the instances at each tick.
+    :param demands: requests per second of each instance's callers.
+    :param event: called with the instances at each tick.
     """
 
     def __init__(
@@ -200,13 +200,13 @@
         for each in self.instances:
             if isinstance(each.gate, Permitted):
                 each.gate.begin(0)
-        for now in range(0, self._seconds * 1000, TICK):
+        for now in range(0, self._seconds * 1000, TICK_MS):
             if self._event is not None:
                 self._event(self.instances, now, self._random)
             if now % LOOK_EVERY == 0:
                 self._divide(now)
             if now % LOOK_EVERY == LOOK_EVERY - NEWS_AGE:
-                self._tell(now)
+                self._report_demand(now)
             for each in self._random.sample(
                 self.instances, len(self.instances)
             ):
@@ -214,34 +214,34 @@
         return Outcome(self._limit, sent, self._seconds)
 
     def _fill_meters(self) -> None:
-        """Let callers have asked before the limit is named."""
-        for now in range(-16_000, 0, TICK):
+        """Record demand from before the limit is advertised."""
+        for now in range(-16_000, 0, TICK_MS):
             for each in self.instances:
                 for _ in range(self._count_arrivals(each)):
                     each.meter.note(SERVICE, now)
 
     def _count_arrivals(self, each: Instance) -> int:
-        arrivals = each.demand * TICK / 1000
+        arrivals = each.demand * TICK_MS / 1000
         return int(arrivals + self._random.random())
 
     def _serve(self, each: Instance, now: int) -> int:
-        """Return how many requests an instance sends now."""
+        """Return the number of requests that an instance sends now."""
         if each.frozen:
             return 0
         for _ in range(self._count_arrivals(each)):
             each.meter.note(SERVICE, now)
             each.waiting.append(now)
-        each.waiting = [at for at in each.waiting if now - at < PATIENCE]
+        each.waiting = [at for at in each.waiting if now - at < TIMEOUT_MS]
         sent = 0
         while each.waiting and each.gate.send(now):
             each.waiting.pop(0)
             sent += 1
         return sent
 
-    def _tell(self, now: int) -> None:
+    def _report_demand(self, now: int) -> None:
         for each in self.instances:
             if not each.frozen:
-                each.told = each.meter.measure((SERVICE,), now)
+                each.reported_demand = each.meter.measure((SERVICE,), now)
 
     def _divide(self, now: int) -> None:
         for each in self.instances:
@@ -255,56 +255,58 @@
     def _find_participants(
         self, own: Instance, lends: bool
     ) -> LimitParticipants:
-        offers: dict[str, DemandByService] = {
-            each.name: each.told
+        demand_by_instance: dict[str, DemandByService] = {
+            each.name: each.reported_demand
             if lends and each.side == own.side and not each.frozen
             else None
             for each in self.instances
         }
-        if len(self.instances) <= MOST_FLAT:
-            return LimitParticipants(own.name, '', {'': None}, offers)
+        if len(self.instances) <= MAX_FLAT_INSTANCES:
+            return LimitParticipants(
+                own.name, '', {'': None}, demand_by_instance
+            )
         groups: dict[str, DemandByService] = {}
         for domain in DOMAINS:
-            told = [
-                offers[each.name]
+            domain_demand = [
+                demand_by_instance[each.name]
                 for each in self.instances
                 if each.domain == domain
             ]
-            known = [each for each in told if each is not None]
+            known = [each for each in domain_demand if each is not None]
             total = sum(each[SERVICE] for each in known)
             groups[domain] = {SERVICE: total} if known else None
-        around = {
-            each.name: offers[each.name]
+        domain_peers = {
+            each.name: demand_by_instance[each.name]
             for each in self.instances
             if each.domain == own.domain
         }
-        return LimitParticipants(own.name, own.domain, groups, around)
+        return LimitParticipants(own.name, own.domain, groups, domain_peers)
 
 
 def spread_evenly(size: int, each: float) -> list[float]:
-    """Return the same demand at each instance."""
+    """Return an equal demand at each instance."""
     return [each] * size
 
 
 def gather(size: int, total: float) -> list[float]:
-    """Return a demand that comes to an eighth of the instances, two at least.
+    """Return demand at an eighth of the instances, and at two at least.
 
-    As of customers with few connections that are kept.
+    Customers with few persistent connections cause such a demand.
     """
     chosen = max(size // 8, 2)
     return [total / chosen if number < chosen else 0 for number in range(size)]
 
 
 def print_ways() -> None:
-    """Print what each way gives."""
+    """Print the outcome of each way to divide a limit."""
     sizes, limits = (8, 62, 370), (1.6, 6.0)
-    for size, limit, gathered in product(sizes, limits, (False, True)):
+    for size, limit, concentrated in product(sizes, limits, (False, True)):
         demands = (
             gather(size, 4 * limit)
-            if gathered
+            if concentrated
             else spread_evenly(size, max(0.56, 4 * limit / size))
         )
-        where = 'gathered' if gathered else 'even'
+        where = 'gathered' if concentrated else 'even'
         for way in WAYS:
             outcome = Play(way, limit, demands).run()
             sys.stdout.write(
