--- a/tests/load/test_limited_upstreams.py
+++ b/tests/load/test_limited_upstreams.py
@@ -1,9 +1,10 @@
-"""A rate limit before so many instances that each has less than one request.
+"""A rate limit that gives each instance less than one request per second.
 
-A limit of 1.6 a second before 62 instances is one request in 39 seconds for
-each. Equal parts that are saved up come all at once; whole requests a second
-are fewer than the limit; either is unused while callers are elsewhere. The
-bound is the platform's: in four seconds half as much again, and five more.
+A limit of 1.6 requests per second among 62 instances is one request in 39
+seconds for each. Accumulated equal fractions are sent in one burst; integral
+requests per second add up to less than the limit; either way, the share of an
+instance without callers is unused. The bound is the platform's: in four
+seconds 1.5 times the limit, and five requests more.
 """
 
 from random import Random
@@ -24,8 +25,8 @@
     spread_evenly,
 )
 
-#: Of the limit that is used at the least while callers are refused.
-USED = 0.8
+#: Minimum share of the limit that is used while callers are refused.
+MIN_USED_SHARE = 0.8
 LENT = 'permits, idle ones lent'
 
 
@@ -36,10 +37,10 @@
         spread_evenly(size, max(0.56, 4 * limit / size)),
         gather(size, max(4 * limit, size / 8)),
     ):
-        # Long enough for a few spans of the lowest limit.
+        # Long enough for several intervals of the lowest limit.
         outcome = Play(LENT, limit, demands, seconds=44).run()
         assert outcome.most <= outcome.allowed
-        assert outcome.used >= USED
+        assert outcome.used >= MIN_USED_SHARE
 
 
 def test_permits_add_up_to_the_limit() -> None:
@@ -49,47 +50,47 @@
         assert allotment.permits <= 6 * limit + 1
 
 
-def test_a_limit_of_nothing_is_asked_again_once_in_a_while() -> None:
-    """Only an answer can tell that it has ended."""
+def test_limit_of_zero_is_polled_at_a_low_rate() -> None:
+    """Only a response shows that the limit has ended."""
     assert allot(0) == allot(0.1)
     assert allot(0).permits == 1
 
 
 @pytest.mark.parametrize('way', ['each alone', 'equal part'])
-def test_parts_that_are_not_whole_requests_break_the_bound(way: str) -> None:
+def test_fractional_shares_break_the_bound(way: str) -> None:
     outcome = Play(way, 1.6, spread_evenly(62, 0.56)).run()
     assert outcome.most > outcome.allowed
 
 
-def test_whole_requests_a_second_leave_most_unused() -> None:
+def test_integral_requests_per_second_leave_the_limit_unused() -> None:
     demands = spread_evenly(62, 0.56)
     outcome = Play('whole requests a second', 1.6, demands).run()
-    assert outcome.used < USED
+    assert outcome.used < MIN_USED_SHARE
 
 
-def test_idle_permits_are_lent_to_who_has_callers() -> None:
+def test_idle_permits_are_lent_to_instances_with_callers() -> None:
     demands = gather(62, 24)
-    assert Play('permits, not lent', 6, demands).run().used < USED / 2
-    assert Play(LENT, 6, demands).run().used >= USED
+    assert Play('permits, not lent', 6, demands).run().used < MIN_USED_SHARE / 2
+    assert Play(LENT, 6, demands).run().used >= MIN_USED_SHARE
 
 
-def test_who_is_not_heard_of_keeps_its_part() -> None:
-    parts = redistribute_idle({'a': 8, 'b': 0, 'c': None, 'd': 8}, UPSTREAM, 8)
-    assert parts['c'] == 2
-    assert parts['b'] == 0
-    assert sum(parts.values()) == 8
+def test_instance_with_unknown_demand_keeps_its_share() -> None:
+    shares = redistribute_idle({'a': 8, 'b': 0, 'c': None, 'd': 8}, UPSTREAM, 8)
+    assert shares['c'] == 2
+    assert shares['b'] == 0
+    assert sum(shares.values()) == 8
     unused = redistribute_idle({'a': 0, 'b': 0}, UPSTREAM, 7)
     assert sorted(unused.values()) == [3, 4]
 
 
 def disturb(instances: list[Instance], now: int, random: Random) -> None:
-    """Restart, freeze and move the callers of some, and cut them apart."""
+    """Restart, pause or partition instances, or exchange their demand."""
     if now % LOOK_EVERY:
         return
     each = random.choice(instances)
     match random.randrange(5):
         case 0 if isinstance(each.gate, Permitted):
-            # It starts again, and is told the limit by its peers.
+            # The instance restarts and receives the limit from its peers.
             each.gate.gate = LimitGate()
             each.gate.begin(now)
         case 1:
@@ -100,13 +101,13 @@
         case 3:
             each.side = random.randrange(2)
         case 4:
-            for everyone in instances:
-                everyone.side = 0
+            for instance in instances:
+                instance.side = 0
 
 
 @pytest.mark.parametrize('limit', [1.6, 6])
 @pytest.mark.parametrize('size', [8, 62])
-def test_bound_holds_while_instances_come_go_and_are_cut(
+def test_bound_holds_during_restarts_and_partitions(
     size: int, limit: float
 ) -> None:
     for seed in range(30 if size < 60 else 6):
@@ -115,7 +116,7 @@
         assert outcome.most <= outcome.allowed, seed
 
 
-def test_both_sides_of_a_partition_keep_to_their_parts() -> None:
+def test_both_sides_of_a_partition_keep_to_their_shares() -> None:
     def cut(instances: list[Instance], now: int, _: Random) -> None:
         for number, each in enumerate(instances):
             each.side = int(now >= 8000) * (number % 2)
@@ -127,5 +128,5 @@
         assert len(later) <= 3.1 * 24 + 2
 
 
-def test_ways_are_all_played() -> None:
+def test_compared_ways_exist() -> None:
     assert {LENT, 'each alone', 'equal part'} < WAYS.keys()
