--- a/tests/test_limited_admission.py
+++ b/tests/test_limited_admission.py
@@ -13,7 +13,7 @@
 from tests.test_fleet import make_entry
 
 NEED = RequestNeeds('s')
-#: An instance that knows of no other instance.
+#: The only instance, or one of two that receive nothing from each other.
 ALONE = LimitParticipants('i', '', {'': None}, {'i': None})
 SIZE = 300
 
--- a/tests/test_upstream_limits.py
+++ b/tests/test_upstream_limits.py
@@ -1,8 +1,8 @@
 """The rate limit of an upstream applies to all instances together.
 
-Guards against instances that exceed an advertised limit: with limits of 3.1
-and 1.6 requests per second, seven instances sent 27 and 30 requests in four
-seconds, where at most 23 and 14 were allowed.
+Guards against instances that exceed an advertised limit: to two upstreams of a
+service with limits of 3.1 and 1.6 requests per second, seven instances sent 27
+and 30 requests in four seconds, where at most 23 and 14 were allowed.
 
 Each instance knows only the requests that it sends itself, so applying the
 limit per instance is not enough: with 3.1 requests per second at each of four
