--- a/src/cartdale/peers/__init__.py
+++ b/src/cartdale/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Peers: messages between entry instances."""
+"""Authenticated request-response messages between instances."""
--- a/src/cartdale/peers/app.py
+++ b/src/cartdale/peers/app.py
@@ -1,7 +1,7 @@
-"""Serve other instances.
+"""ASGI application that handles messages from other instances.
 
-A plain ASGI application: the frameworks that serve callers and operators
-cost more for each call than the call itself (docs/design/peers.md).
+It uses no web framework: those that serve callers and operators cost more per
+request than handling the message itself (docs/design/peers.md).
 """
 
 from collections.abc import Awaitable, Callable, Mapping
@@ -31,10 +31,10 @@
 
 
 class PeerApp:
-    """Answer sealed messages.
+    """Verify signed messages and respond with signed replies.
 
-    :param serve: answers one message.
-    :param shapes_by_kind: the messages that are understood.
+    :param serve: handles one message and returns the reply.
+    :param shapes_by_kind: supported message types by their name on the wire.
     """
 
     def __init__(
@@ -55,7 +55,7 @@
     async def __call__(
         self, scope: AsgiEvent, receive: Receive, send: Send
     ) -> None:
-        """Answer one ASGI connection."""
+        """Handle one ASGI connection."""
         if not await accept_http_request(scope, receive, send):
             return
         if scope['path'] != PATH:
@@ -65,9 +65,9 @@
         if signed is None:
             await send_response(send, HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
             return
-        await self._take(signed, send)
+        await self._handle_signed(signed, send)
 
-    async def _take(self, signed: bytes, send: Send) -> None:
+    async def _handle_signed(self, signed: bytes, send: Send) -> None:
         envelope = self._client.authenticator.verify(
             signed, self._clock.wall_time()
         )
@@ -80,8 +80,8 @@
             await send_response(send, HTTPStatus.BAD_REQUEST)
             return
         reply = await self._serve(message)
-        answer = self._client.sign_message(envelope.sender, reply)
-        await send_response(send, HTTPStatus.OK, BINARY_HEADERS, answer)
+        signed_reply = self._client.sign_message(envelope.sender, reply)
+        await send_response(send, HTTPStatus.OK, BINARY_HEADERS, signed_reply)
 
     def _decode(self, envelope: Envelope) -> object | None:
         shape = self._shapes_by_kind.get(envelope.kind)
--- a/src/cartdale/peers/authentication.py
+++ b/src/cartdale/peers/authentication.py
@@ -1,4 +1,4 @@
-"""Authenticate what instances send each other with the cluster's keys."""
+"""Authentication of messages between instances with the cluster's keys."""
 
 import hashlib
 import hmac
@@ -11,16 +11,17 @@
 
 _MAC_BYTES = 16
 _KEY_BYTES = 64
-#: Messages whose sender's wall clock differs more are refused.
+#: Maximum difference between the sender's and the recipient's wall clock;
+#: messages beyond it are rejected.
 FRESH_MS: Millis = 30_000
 
 
 @dataclass(frozen=True, slots=True)
 class Envelope:
-    """Wrap a message between instances.
+    """Message between instances with its addressing.
 
     :param kind: name of the message's type.
-    :param wall_ms: sender's wall clock.
+    :param wall_ms: the sender's wall-clock time at sending.
     """
 
     sender: str
@@ -33,7 +34,7 @@
 def wrap(
     sender: str, recipient: str, message: object, wall_ms: Millis
 ) -> Envelope:
-    """Put a message into an envelope, under the name of its type."""
+    """Return an envelope with the message, labelled by its type name."""
     return Envelope(
         sender=sender,
         recipient=recipient,
@@ -44,24 +45,24 @@
 
 
 class Authenticator:
-    """Seal and open envelopes.
+    """Sign and verify envelopes.
 
-    :param keys: accepted keys, the newest first; it seals.
+    :param keys: accepted keys, newest first; the newest one signs.
     """
 
     def __init__(self, keys: tuple[bytes, ...]) -> None:
         self._keys = tuple(key[:_KEY_BYTES] for key in keys)
 
     def sign(self, envelope: Envelope) -> bytes:
-        """Return the envelope with its code in front."""
+        """Return the encoded envelope, prefixed with its MAC."""
         raw = encode_binary(envelope)
         return _mac(self._keys[0], raw) + raw
 
     def verify(self, signed: bytes, now_wall: Millis) -> Envelope | None:
-        """Return the envelope, or ``None`` unless genuine and fresh."""
-        code, raw = signed[:_MAC_BYTES], signed[_MAC_BYTES:]
+        """Return the envelope, or ``None`` if its MAC or time is invalid."""
+        mac, raw = signed[:_MAC_BYTES], signed[_MAC_BYTES:]
         genuine = any(
-            hmac.compare_digest(code, _mac(key, raw)) for key in self._keys
+            hmac.compare_digest(mac, _mac(key, raw)) for key in self._keys
         )
         if not genuine:
             return None
--- a/src/cartdale/peers/client.py
+++ b/src/cartdale/peers/client.py
@@ -1,4 +1,4 @@
-"""Ask other instances; every message is sealed, both ways."""
+"""Client for requests to other instances, signed in both directions."""
 
 from dataclasses import dataclass
 from statistics import median
@@ -21,19 +21,19 @@
 
 Reply = TypeVar('Reply')
 
-_FEWEST_OFFSETS = 2
+_MIN_OFFSETS = 2
 
 
 @dataclass(frozen=True, slots=True)
 class PeerNotReached:
-    """Nothing was sent."""
+    """The request was not sent."""
 
     detail: str
 
 
 @dataclass(frozen=True, slots=True)
 class PeerUncertain:
-    """The peer may have taken the message."""
+    """The outcome is unknown: the peer may have handled the message."""
 
     detail: str
 
@@ -42,10 +42,10 @@
 
 
 class PeerClient:
-    """Send messages to other instances.
+    """Send signed messages to other instances.
 
     :param name: this instance's name.
-    :param timeout: longest wait for an answer, in milliseconds.
+    :param timeout: default response timeout, in milliseconds.
     """
 
     def __init__(
@@ -75,11 +75,11 @@
         *,
         times_clock: bool = False,
     ) -> Result[Reply, PeerFailure]:
-        """Send a message and wait for its answer.
+        """Send a message and wait for the response.
 
-        :param timeout: longest wait; 0 for the client's own.
-        :param times_clock: whether the answer comes at once, so that it shows
-            the peer's clock.
+        :param timeout: response timeout; 0 uses the client's default.
+        :param times_clock: whether the peer responds immediately, so that the
+            response can be used to estimate its clock offset.
         """
         signed = self.sign_message(peer, message)
         sent_at = self._clock.wall_time()
@@ -96,40 +96,42 @@
         except HTTPCORE_UNKNOWN_OUTCOME_ERRORS as late_error:
             return Failure(PeerUncertain(format_error(late_error)))
         self.received_bytes += len(response.content)
-        opened = self._verify(response.content, peer, shape)
-        if opened is None:
+        envelope = self._verify(response.content, peer, shape)
+        if envelope is None:
             return Failure(PeerUncertain('the answer is not genuine'))
         if times_clock:
-            self._note_offset(peer, opened.wall_ms, sent_at)
+            self._record_offset(peer, envelope.wall_ms, sent_at)
         try:
-            return Success(decode_binary(bytes(opened.body), shape))
+            return Success(decode_binary(bytes(envelope.body), shape))
         except msgspec.MsgspecError as error:
             return Failure(PeerUncertain(format_error(error)))
 
     def sign_message(self, recipient: str, message: object) -> bytes:
-        """Seal a message to a peer."""
+        """Return a message to a peer, wrapped and signed."""
         wall = self._clock.wall_time()
         return self.authenticator.sign(
             wrap(self._name, recipient, message, wall)
         )
 
     def clock_error(self) -> Millis:
-        """Return how far this wall clock is from the peers', by the median.
+        """Return the absolute median offset between this clock and the peers'.
 
-        0 while fewer than two peers answered.
+        Returns 0 while the offsets of fewer than two peers are known.
         """
-        if len(self.offsets_by_peer) < _FEWEST_OFFSETS:
+        if len(self.offsets_by_peer) < _MIN_OFFSETS:
             return 0
         return int(abs(median(self.offsets_by_peer.values())))
 
-    def _note_offset(self, peer: str, theirs: Millis, sent_at: Millis) -> None:
-        middle = (sent_at + self._clock.wall_time()) // 2
-        self.offsets_by_peer[peer] = theirs - middle
+    def _record_offset(
+        self, peer: str, peer_wall: Millis, sent_at: Millis
+    ) -> None:
+        midpoint = (sent_at + self._clock.wall_time()) // 2
+        self.offsets_by_peer[peer] = peer_wall - midpoint
 
     def _verify(
         self, signed: bytes, peer: str, shape: type[Reply]
     ) -> Envelope | None:
-        """Return the envelope of a genuine answer of the right kind."""
+        """Return the envelope of a valid response of the expected type."""
         envelope = self.authenticator.verify(signed, self._clock.wall_time())
         if envelope is None or envelope.recipient != self._name:
             return None
@@ -139,6 +141,6 @@
 
 
 def _make_extensions(timeout: Millis) -> dict[str, object]:
-    longest = as_seconds(timeout)
-    limits = {'connect': longest, 'read': longest, 'write': longest}
+    seconds = as_seconds(timeout)
+    limits = {'connect': seconds, 'read': seconds, 'write': seconds}
     return {'timeout': limits}
--- a/src/cartdale/peers/documents.py
+++ b/src/cartdale/peers/documents.py
@@ -1,4 +1,7 @@
-"""Messages that instances need even where they have no other."""
+"""Messages that transfer the operator's document, and its encoding.
+
+Instances that support no other peer messages need these too.
+"""
 
 import zlib
 from dataclasses import dataclass
@@ -7,19 +10,19 @@
 from returns.result import Failure, Result, Success
 
 _ZLIB: Final = 'zlib'
-#: Encodings of a document that can be read here.
+#: Document encodings that this instance can decode.
 ENCODINGS = (_ZLIB,)
-#: Longest document that is decoded, in bytes: as long as a message between
-#: instances may be, which holds 16,000 routes.
-_LONGEST = 4_194_304
+#: Maximum size of a decoded document. It equals the size limit of a message
+#: between instances, which holds 16,000 routes.
+_MAX_DOCUMENT_BYTES = 4_194_304
 
 
 @dataclass(frozen=True, slots=True)
 class FetchDocument:
-    """Ask for the operator's document that is in force.
+    """Request the operator's current document.
 
-    :param accepts: encodings in which it may come; without one it comes as it
-        is stored.
+    :param accepts: encodings that the requester can decode; if empty, the
+        document is sent as stored.
     """
 
     accepts: tuple[str, ...] = ()
@@ -27,10 +30,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Document:
-    """Hand on the operator's document.
+    """Response with the operator's document.
 
-    :param raw: empty when there is none yet.
-    :param encoding: of ``raw``; empty for as it is stored.
+    :param raw: the document; empty if there is none yet.
+    :param encoding: encoding of ``raw``; empty if it is sent as stored.
     """
 
     raw: bytes
@@ -39,23 +42,24 @@
 
 @dataclass(frozen=True, slots=True)
 class DocumentUnreadable:
-    """A peer's document can't be decoded."""
+    """A document received from a peer can't be decoded."""
 
     detail: str
 
 
 @dataclass(frozen=True, slots=True)
 class Unserved:
-    """The message was not understood here."""
+    """Response to a message that this instance does not support."""
 
 
 class DocumentEncoder:
-    """Hand the document in force on to peers, encoded once for all of them.
+    """Encode the current document for peers, caching the encoded form.
 
-    A new version is asked for by all instances at once, and after a loss of
-    power many start together. Documents repeat themselves, and come to a tenth
-    of their size: 1,400 routes are 365 kB, which take a link of 10 Mbit/s 0.3 s
-    each, and those who wait for 20 others give up.
+    All instances request a new version at the same time, and many start
+    together after a power loss. Documents are repetitive and compress to a
+    tenth of their size. Uncompressed, 1,400 routes are 365 kB, which take 0.3 s
+    per instance on a 10 Mbit/s link; an instance queued behind 20 others would
+    time out.
     """
 
     def __init__(self) -> None:
@@ -63,7 +67,7 @@
         self._encoded = b''
 
     def encode(self, raw: bytes, accepts: tuple[str, ...]) -> Document:
-        """Return a document in an encoding that the asker reads."""
+        """Return the document in an encoding that the requester accepts."""
         if _ZLIB not in accepts:
             return Document(raw)
         if raw != self._raw:
@@ -73,14 +77,14 @@
 
 
 def decode_document(document: Document) -> Result[bytes, DocumentUnreadable]:
-    """Return a peer's document as it is stored."""
+    """Return the stored form of a document received from a peer."""
     if not document.encoding:
         return Success(document.raw)
     if document.encoding != _ZLIB:
         return Failure(DocumentUnreadable(f'encoding {document.encoding}'))
     decompressor = zlib.decompressobj()
     try:
-        raw = decompressor.decompress(document.raw, _LONGEST)
+        raw = decompressor.decompress(document.raw, _MAX_DOCUMENT_BYTES)
     except zlib.error as error:
         return Failure(DocumentUnreadable(str(error)))
     if not decompressor.eof:
--- a/src/cartdale/peers/messages.py
+++ b/src/cartdale/peers/messages.py
@@ -1,4 +1,4 @@
-"""Messages between instances, by the kind that names them on the wire."""
+"""Message types exchanged between instances, and their wire names."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -17,9 +17,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Exchange:
-    """Tell news and ask for news; answered by the same type.
+    """Send news and request news; the response has the same type.
 
-    :param crashes: upstreams that ended as they began to run a request.
+    :param crashes: upstreams that crashed as they started to run a request.
     """
 
     news: tuple[MemberNews, ...]
@@ -28,14 +28,14 @@
 
 @dataclass(frozen=True, slots=True)
 class FetchDeltas:
-    """Ask for the configuration after a revision."""
+    """Request the configuration changes after a revision."""
 
     after: int
 
 
 @dataclass(frozen=True, slots=True)
 class HandOn:
-    """Hand on deltas, or a snapshot where they reach not far enough back."""
+    """Send deltas, or a snapshot if the deltas don't reach back far enough."""
 
     deltas: tuple[Delta, ...] = ()
     snapshot: Snapshot | None = None
@@ -43,12 +43,12 @@
 
 @dataclass(frozen=True, slots=True)
 class FetchReport:
-    """Ask for the measures of an instance."""
+    """Request the measurements of an instance."""
 
 
 @dataclass(frozen=True, slots=True)
 class Acknowledged:
-    """The message was taken."""
+    """The message was accepted."""
 
 
 _ConfigurationMessage = FetchDeltas | HandOn | FetchDocument | Document
--- a/src/cartdale/peers/pool.py
+++ b/src/cartdale/peers/pool.py
@@ -1,4 +1,4 @@
-"""Make connections to other instances."""
+"""Connection pool for requests to other instances."""
 
 import httpcore
 
@@ -6,10 +6,10 @@
 
 
 def make_peer_pool(tls: Tls | None) -> httpcore.AsyncConnectionPool:
-    """Make connections to peers that show this instance's certificate.
+    """Return a connection pool that presents this instance's certificate.
 
-    Without TLS no certificates are read, which costs more than all else at
-    the start of an instance.
+    Without TLS, no certificates are read: reading them is the most expensive
+    step of an instance's start.
     """
     if tls is None:
         return httpcore.AsyncConnectionPool(max_connections=None)
