--- a/src/cartdale/briefing/__init__.py
+++ b/src/cartdale/briefing/__init__.py
@@ -1,1 +1,1 @@
-"""Briefing: what a new instance learns from another one, without the store."""
+"""Bootstrap data that a new instance gets from a peer, without the store."""
--- a/src/cartdale/briefing/app.py
+++ b/src/cartdale/briefing/app.py
@@ -1,9 +1,9 @@
-"""Brief instances that have just started.
+"""ASGI application that sends briefings to instances that have just started.
 
-A plain ASGI application on a listener that nobody outside the system reaches.
-A new instance has no key yet: it sends one that it made up, and the answer is
-sealed with that. Whoever reaches this listener could read the same from the
-store, which asks for no credentials either.
+Its listener isn't reachable from outside the system. A new instance doesn't
+have the cluster's key yet, so it sends a random key, with which the response is
+signed. Any client that can reach this listener could read the same data from
+the store, which requires no credentials either.
 """
 
 from collections.abc import Callable
@@ -30,19 +30,19 @@
 from cartdale.peers.documents import Document, decode_document
 
 PATH: Final = '/briefing/v1'
-#: Shortest key that an answer is sealed with.
+#: Length of the random key in a request; shorter keys are rejected.
 KEY_BYTES: Final = 32
-#: Names the encodings in which the asker reads the document.
+#: Lists the document encodings that the requester accepts.
 ACCEPT_HEADER: Final = b'accept-encoding'
-_BODY_LIMIT = 1024
+_MAX_BODY_BYTES = 1024
 
 
 class BriefingApp:
-    """Answer with what this instance knows.
+    """Respond to briefing requests with the state of this instance.
 
     :param name: this instance's name.
-    :param describe: makes the briefing, with a document in one of some
-        encodings or as it is stored.
+    :param describe: returns the briefing; its document is in one of the given
+        encodings or as stored.
     """
 
     def __init__(
@@ -58,18 +58,19 @@
     async def __call__(
         self, scope: AsgiEvent, receive: Receive, send: Send
     ) -> None:
-        """Answer one ASGI connection."""
+        """Handle one ASGI connection."""
         if not await accept_http_request(scope, receive, send):
             return
         if scope['path'] != PATH:
             await send_response(send, HTTPStatus.NOT_FOUND)
             return
-        key = await read_body(receive, _BODY_LIMIT)
+        key = await read_body(receive, _MAX_BODY_BYTES)
         if key is None or len(key) < KEY_BYTES:
             await send_response(send, HTTPStatus.BAD_REQUEST)
             return
         wall = self._clock.wall_time()
-        # Whoever has the key is meant: the asker has no name here yet.
+        # The recipient is empty, since the requester's name isn't known here
+        # yet; the key identifies it.
         briefing = self._describe(_list_accepted(scope))
         envelope = wrap(self._name, '', briefing, wall)
         signed = Authenticator((key,)).sign(envelope)
@@ -77,10 +78,10 @@
 
 
 def open_briefing(raw: bytes, key: bytes, now_wall: int) -> Briefing | None:
-    """Return a briefing, or ``None`` unless it is the answer to a question.
+    """Return a verified briefing, or ``None`` if the response is invalid.
 
-    :param key: what the question carried.
-    :returns: a briefing with the document as it is stored.
+    :param key: the key that the request carried.
+    :returns: a briefing with the document in its stored form.
     """
     envelope = Authenticator((key,)).verify(raw, now_wall)
     if envelope is None or envelope.kind != Briefing.__name__:
@@ -96,6 +97,6 @@
 
 
 def _list_accepted(scope: AsgiEvent) -> tuple[str, ...]:
-    """Return the encodings in which the asker reads the document."""
-    named = dict(scope['headers']).get(ACCEPT_HEADER, b'')
-    return tuple(named.decode('latin-1').replace(',', ' ').split())
+    """Return the document encodings that the requester accepts."""
+    header = dict(scope['headers']).get(ACCEPT_HEADER, b'')
+    return tuple(header.decode('latin-1').replace(',', ' ').split())
--- a/src/cartdale/briefing/driver.py
+++ b/src/cartdale/briefing/driver.py
@@ -1,4 +1,7 @@
-"""Ask instances that already run, while the store does not answer a new one."""
+"""Client that gets a briefing from running instances at startup.
+
+It lets a new instance start while the store does not respond.
+"""
 
 import secrets
 from collections.abc import Callable, Iterable
@@ -21,31 +24,33 @@
     HTTPCORE_UNKNOWN_OUTCOME_ERRORS,
 )
 
-#: The store answers a healthy start within a few milliseconds; one that takes
-#: this long is asked beside the others.
+#: Delay before the first requests to peers. A healthy store responds within a
+#: few milliseconds; after this delay, peers are queried in parallel with it.
 _STORE_HEAD_START: Millis = 40
-#: Between rounds of questions, and the longest wait for an answer.
-_ASK_EVERY: Millis = 250
-_PATIENCE: Millis = 500
+#: Pause between rounds of requests.
+_REQUEST_INTERVAL: Millis = 250
+_RESPONSE_TIMEOUT: Millis = 500
 
 _ACCEPTED = ', '.join(ENCODINGS).encode()
-_NO_ANSWER = (
+_REQUEST_ERRORS = (
     *HTTPCORE_NOT_SENT_ERRORS,
     *HTTPCORE_UNKNOWN_OUTCOME_ERRORS,
     trio.TooSlowError,
 )
 
-Take = Callable[[Briefing], None]
+ApplyBriefing = Callable[[Briefing], None]
 
 
 class BriefingClient:
-    """Ask others until this instance knows what it needs.
+    """Request briefings until this instance has the data that it needs.
 
     :param pool: connections to other instances.
-    :param addresses: ``IP:PORT`` of instances that may be down.
-    :param take: takes a briefing over; it must only go forward, since
-        several answer and the store may be ahead of them.
-    :param knows_enough: tells whether it does.
+    :param addresses: ``IP:PORT`` of other instances, which may be down.
+    :param apply_briefing: applies a briefing; it must never replace newer
+        data, since several instances respond and the store may be ahead of
+        them.
+    :param knows_enough: returns whether this instance has the data that it
+        needs.
     """
 
     def __init__(
@@ -53,35 +58,35 @@
         pool: httpcore.AsyncConnectionPool,
         addresses: Iterable[str],
         clock: Clock,
-        take: Take,
+        apply_briefing: ApplyBriefing,
         knows_enough: Callable[[], bool],
     ) -> None:
         self._pool = pool
         self._addresses = tuple(addresses)
         self._clock = clock
-        self._take = take
+        self._apply_briefing = apply_briefing
         self._knows_enough = knows_enough
 
     async def run(self) -> None:
-        """Ask until it knows what it needs, from others or the store."""
+        """Send requests until peers or the store have provided the data."""
         await trio.sleep(as_seconds(_STORE_HEAD_START))
         while self._addresses and not self._knows_enough():
             async with trio.open_nursery() as nursery:
                 for address in self._addresses:
-                    nursery.start_soon(self._ask, address)
-            await trio.sleep(as_seconds(_ASK_EVERY))
+                    nursery.start_soon(self._request_briefing, address)
+            await trio.sleep(as_seconds(_REQUEST_INTERVAL))
 
-    async def _ask(self, address: str) -> None:
+    async def _request_briefing(self, address: str) -> None:
         key = secrets.token_bytes(KEY_BYTES)
         try:
-            with trio.fail_after(as_seconds(_PATIENCE)):
+            with trio.fail_after(as_seconds(_RESPONSE_TIMEOUT)):
                 response = await self._pool.request(
                     'POST',
                     f'http://{address}{PATH}',
                     headers=[(ACCEPT_HEADER, _ACCEPTED)],
                     content=key,
                 )
-        except _NO_ANSWER as error:
+        except _REQUEST_ERRORS as error:
             logger.info(
                 'no briefing', address=address, error=type(error).__name__
             )
@@ -99,4 +104,4 @@
             peers=len(briefing.peers),
             upstreams=len(briefing.entries),
         )
-        self._take(briefing)
+        self._apply_briefing(briefing)
--- a/src/cartdale/briefing/types.py
+++ b/src/cartdale/briefing/types.py
@@ -1,4 +1,4 @@
-"""What one instance tells another that has just started."""
+"""Types of the briefing that a new instance gets from a peer."""
 
 from dataclasses import dataclass
 
@@ -10,18 +10,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Briefing:
-    """Hold what an instance needs to serve.
+    """Data that an instance needs to start serving.
 
-    :param key: the cluster's key, which seals news; empty if not known.
-    :param document: the operator's document in force; empty if there is none
+    :param key: the cluster's key, which signs news; empty if unknown.
+    :param document: the operator's current document; empty if there is none
         yet.
-    :param peers: instances that were listed or heard of, the sender included.
-    :param entries: upstreams that take new work.
-    :param lapsed: ids of those among them whose entries went with an outage
-        of the store, and may come back.
-    :param evacuations: of failure domains, present and past.
-    :param crashes: upstreams that ended as they began to run a request.
-    :param encoding: of the document; empty for as it is stored.
+    :param peers: known instances, from the store's list or from news, including
+        the sender.
+    :param entries: upstreams that accept new requests.
+    :param lapsed: ids of those upstreams whose entries were lost in an outage
+        of the store and may come back.
+    :param evacuations: evacuations of failure domains, current and past.
+    :param crashes: upstreams that crashed as they started to run a request.
+    :param encoding: encoding of the document; empty if it is sent as stored.
     """
 
     key: bytes
