--- a/tests/test_briefing.py
+++ b/tests/test_briefing.py
@@ -1,4 +1,4 @@
-"""Instances that start while the store does not answer them."""
+"""Start of instances while the store does not respond."""
 
 from cartdale.briefing.app import KEY_BYTES, PATH, open_briefing
 from cartdale.clock import SystemClock
@@ -37,7 +37,7 @@
             assert answer.status_code == 200
 
 
-async def test_new_instance_and_others_hear_of_each_other() -> None:
+async def test_new_instance_and_peers_receive_news_of_each_other() -> None:
     async with open_platform() as stage:
         await until(lambda: stage.runtimes[0].peers.key)
         await add_without_store(stage, SILENT)
@@ -46,7 +46,7 @@
         await until(lambda: 'entry-0' in new.state.received_by_name)
 
 
-async def test_store_goes_on_where_the_briefing_ended() -> None:
+async def test_store_updates_apply_after_a_briefing() -> None:
     async with open_platform() as stage:
         await add_without_store(stage, SILENT)
         stage.store.put('op/config', make_configuration(2))
@@ -54,7 +54,7 @@
         await stage.settle(version=2)
 
 
-async def test_briefing_does_not_go_before_the_store() -> None:
+async def test_briefing_does_not_replace_newer_data_of_the_store() -> None:
     async with open_platform(instances=2) as stage:
         old, new = stage.runtimes
         briefing = old._briefings.describe()
@@ -66,7 +66,7 @@
         assert new.fleet.table.version == 2
 
 
-async def test_upstream_that_leaves_is_not_in_a_briefing() -> None:
+async def test_leaving_upstream_is_not_in_a_briefing() -> None:
     async with open_platform(engines=2) as stage:
         runtime = stage.runtimes[0]
         stage.drain(stage.engines[0])
@@ -77,7 +77,7 @@
         assert {each.upstream for each in listed} == {'engine-1', 'plain-0'}
 
 
-async def test_briefing_is_sealed_with_the_key_of_its_question() -> None:
+async def test_briefing_is_signed_with_the_key_of_its_request() -> None:
     async with open_platform() as stage:
         port = stage.runtimes[0].control_port
         url = f'http://{LOCAL}:{port}{PATH}'
@@ -94,12 +94,12 @@
         assert other.status_code == 404
 
 
-async def test_large_document_comes_encoded_to_who_reads_it() -> None:
-    """Half a second is the longest wait for a briefing.
+async def test_large_document_is_encoded_if_the_requester_accepts_it() -> None:
+    """Large documents must not make briefings exceed their timeout of 0.5 s.
 
-    As it is stored, a document of 1,400 routes takes a link of 10 Mbit/s 0.3 s;
-    twenty instances that start together, while the store is away, would get
-    none for as long as they ask.
+    In its stored form, a document of 1,400 routes takes 0.3 s on a 10 Mbit/s
+    link. If twenty instances started together during a store outage, all their
+    requests would time out, however often they retried.
     """
     async with open_platform() as stage:
         configuration = make_configuration(2)
--- a/tests/test_peer_documents.py
+++ b/tests/test_peer_documents.py
@@ -1,4 +1,4 @@
-"""The operator's document on its way from instance to instance."""
+"""Transfer of the operator's document between instances."""
 
 import zlib
 
@@ -19,7 +19,7 @@
 OTHER = encode_json({'routes': []})
 
 
-def test_document_comes_as_it_was_stored() -> None:
+def test_decoded_document_equals_the_stored_one() -> None:
     encoder = DocumentEncoder()
     for raw in (RAW, OTHER, b''):
         document = encoder.encode(raw, ENCODINGS)
@@ -27,12 +27,12 @@
     assert len(encoder.encode(RAW, ENCODINGS).raw) < len(RAW) / 10
 
 
-def test_who_reads_no_encoding_gets_the_document_itself() -> None:
-    """Instances of two versions run side by side while one is rolled out."""
-    asked = decode_binary(encode_binary({}), FetchDocument)
-    assert DocumentEncoder().encode(RAW, asked.accepts) == Document(RAW)
-    answered = decode_binary(encode_binary({'raw': RAW}), Document)
-    assert decode_document(answered) == Success(RAW)
+def test_requester_without_encodings_gets_the_stored_document() -> None:
+    """Instances of two versions exchange documents during a rollout."""
+    request = decode_binary(encode_binary({}), FetchDocument)
+    assert DocumentEncoder().encode(RAW, request.accepts) == Document(RAW)
+    response = decode_binary(encode_binary({'raw': RAW}), Document)
+    assert decode_document(response) == Success(RAW)
 
 
 @pytest.mark.parametrize(
@@ -45,7 +45,7 @@
     ],
     ids=['not encoded', 'cut off', 'unknown encoding', 'too long'],
 )
-def test_what_cannot_be_decoded_is_told(document: Document) -> None:
-    answer = decode_document(document)
-    assert isinstance(answer, Failure)
-    assert isinstance(answer.failure(), DocumentUnreadable)
+def test_undecodable_document_is_reported(document: Document) -> None:
+    result = decode_document(document)
+    assert isinstance(result, Failure)
+    assert isinstance(result.failure(), DocumentUnreadable)
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -1,4 +1,4 @@
-"""TLS between instances, rotated keys, hostile input, wrong clocks."""
+"""TLS between instances, key rotation, malformed input and clock errors."""
 
 from dataclasses import replace
 from pathlib import Path
@@ -47,7 +47,7 @@
 
 
 class Pair:
-    """One serving and one asking instance."""
+    """One instance that serves requests and one that sends them."""
 
     def __init__(self, nursery: trio.Nursery, tls: Tls | None) -> None:
         clock = SystemClock()
@@ -60,7 +60,7 @@
         self.address = f'{scheme}://127.0.0.1:{bound.port}'
         nursery.start_soon(bound.serve, self.app, trio.Event())
 
-    async def ask(self, tls: Tls | None, key: bytes = NEW) -> object:
+    async def request(self, tls: Tls | None, key: bytes = NEW) -> object:
         pool = make_peer_pool(tls)
         client = PeerClient(
             pool, 'a', Authenticator((key,)), SystemClock(), 5000
@@ -69,29 +69,30 @@
         return answer.value_or(None) or answer.failure()
 
 
-async def test_instances_need_a_certificate_of_their_authority(
+async def test_peers_need_a_certificate_of_the_cluster_authority(
     tmp_path: Path,
 ) -> None:
     authority = trustme.CA()
     async with trio.open_nursery() as nursery:
         pair = Pair(nursery, make_tls(tmp_path, authority, 'b'))
         good = make_tls(tmp_path, authority, 'a')
-        assert await pair.ask(good) == Loan(3, 0)
+        assert await pair.request(good) == Loan(3, 0)
         foreign = make_tls(tmp_path, trustme.CA(), 'x')
         trusting = replace(foreign, authority=good.authority)
-        assert not isinstance(await pair.ask(trusting), Loan)
-        assert isinstance(await pair.ask(foreign), PeerNotReached)
+        assert not isinstance(await pair.request(trusting), Loan)
+        assert isinstance(await pair.request(foreign), PeerNotReached)
         nursery.cancel_scope.cancel()
 
 
-async def test_old_and_new_keys_are_accepted_and_others_are_not() -> None:
+async def test_only_old_and_new_keys_are_accepted() -> None:
     async with trio.open_nursery() as nursery:
         pair = Pair(nursery, None)
-        assert await pair.ask(None, NEW) == Loan(3, 0)
-        # The answer is sealed by the new key, which the old one cannot open.
-        assert not isinstance(await pair.ask(None, OLD), Loan)
+        assert await pair.request(None, NEW) == Loan(3, 0)
+        # The response is signed with the new key, so a client that has only
+        # the old key rejects it.
+        assert not isinstance(await pair.request(None, OLD), Loan)
         assert pair.app.refused == 0
-        assert not isinstance(await pair.ask(None, b'foreign-key'), Loan)
+        assert not isinstance(await pair.request(None, b'foreign-key'), Loan)
         assert pair.app.refused == 1
         nursery.cancel_scope.cancel()
 
@@ -100,7 +101,9 @@
     ('body', 'status'),
     [(b'', 403), (b'x' * 100, 403), (b'x' * (BODY_LIMIT + 1), 413)],
 )
-async def test_hostile_messages_are_refused(body: bytes, status: int) -> None:
+async def test_malformed_messages_are_rejected(
+    body: bytes, status: int
+) -> None:
     async with trio.open_nursery() as nursery:
         pair = Pair(nursery, None)
         async with httpx.AsyncClient() as client:
@@ -109,7 +112,7 @@
         nursery.cancel_scope.cancel()
 
 
-async def test_a_huge_body_of_a_caller_is_refused(tmp_path: Path) -> None:
+async def test_oversized_caller_body_is_rejected(tmp_path: Path) -> None:
     async with open_stage(tmp_path) as stage:
         await stage.settle(stage.declare())
         response = await stage.client.post(
@@ -121,7 +124,7 @@
         assert response.json()['type'] == 'urn:cartdale:problem:bad-request'
 
 
-async def test_callers_keys_do_not_open_the_operators_interface(
+async def test_caller_keys_are_rejected_by_the_operator_interface(
     tmp_path: Path,
 ) -> None:
     async with open_stage(tmp_path) as stage:
@@ -134,7 +137,7 @@
             assert response.status_code == 401
 
 
-async def test_an_instance_with_a_wrong_clock_answers_no_claims() -> None:
+async def test_instance_with_a_wrong_clock_grants_no_claims() -> None:
     error = 0
     owner = SlotOwner(
         OwnerPorts(
@@ -156,7 +159,7 @@
     assert owner.handle_message(claim, 'k').verdict is Verdict.NOT_OWNER
 
 
-async def test_clocks_are_compared_with_peers() -> None:
+async def test_clock_error_is_the_median_offset_to_peers() -> None:
     client = PeerClient(
         make_peer_pool(None), 'a', Authenticator((NEW,)), SystemClock(), 1
     )
