--- a/src/cartdale/ledger/__init__.py
+++ b/src/cartdale/ledger/__init__.py
@@ -1,1 +1,1 @@
-"""Ledger: at most one run for each idempotency key."""
+"""At-most-once execution of requests that carry an idempotency key."""
--- a/src/cartdale/ledger/claims.py
+++ b/src/cartdale/ledger/claims.py
@@ -1,4 +1,4 @@
-"""Claim keys at their owners, wherever those are."""
+"""Claim idempotency keys from their owners, local or remote."""
 
 from dataclasses import dataclass
 
@@ -17,17 +17,17 @@
 from cartdale.peers.client import PeerClient
 from cartdale.peers.messages import Acknowledged
 
-_ATTEMPTS = 3
-_RESCAN_PAUSE: Millis = 1000
+_MAX_ATTEMPTS = 3
+_MIN_RESCAN_INTERVAL: Millis = 1000
 
 
 @dataclass(frozen=True, slots=True)
 class NoOwner:
-    """No owner answered; this attempt has not run and will not run."""
+    """No owner responded; the attempt has not run and must not run."""
 
 
 class Claimer:
-    """Claim keys for requests that arrive at this instance."""
+    """Claims idempotency keys for requests received by this instance."""
 
     def __init__(
         self, owner: SlotOwner, peers: PeerClient, name: str, clock: Clock
@@ -39,28 +39,31 @@
         self._scanned_at: Millis = 0
 
     async def claim(self, claim: Claim) -> Result[ClaimAnswer, NoOwner]:
-        """Ask the key's owner whether this attempt may run.
+        """Request permission from the key's owner to run this attempt.
 
-        An attempt whose answer is lost asks again under the same claim
-        id, so that a grant that nobody received is not wasted.
+        If the response is lost, the claim is retried with the same claim
+        id, so a grant whose response was lost can still be used.
         """
-        for _ in range(_ATTEMPTS):
+        for _ in range(_MAX_ATTEMPTS):
             holder = self._owner.holders_by_slot.get(slot_of(claim.key))
-            answer = await self._ask(holder, claim)
+            answer = await self._request(holder, claim)
             if answer is not None:
                 return Success(answer)
             await self._rescan()
         return Failure(NoOwner())
 
     async def report(self, message: Settle | Release) -> None:
-        """Tell the owner how an attempt went; lost reports are safe."""
-        number = slot_of(message.key)
-        holder = self._owner.holders_by_slot.get(number)
-        mine = holder is not None and holder.name == self._name
-        if mine and number not in self._owner.owned():
-            # The slot went to another owner while the request ran.
+        """Report the outcome of an attempt to the owner.
+
+        A lost report is safe.
+        """
+        slot = slot_of(message.key)
+        holder = self._owner.holders_by_slot.get(slot)
+        is_local = holder is not None and holder.name == self._name
+        if is_local and slot not in self._owner.owned():
+            # The slot moved to another owner while the request ran.
             await self._owner.scan()
-            holder = self._owner.holders_by_slot.get(number)
+            holder = self._owner.holders_by_slot.get(slot)
         if holder is None:
             return
         if holder.name == self._name:
@@ -70,29 +73,31 @@
             holder.name, holder.address, message, Acknowledged
         )
 
-    async def _ask(
+    async def _request(
         self, holder: SlotHolder | None, claim: Claim
     ) -> ClaimAnswer | None:
         if holder is None:
             return None
         if holder.name == self._name:
-            return _owned(self._owner.handle_message(claim, claim.key))
-        asked = await self._peers.request(
+            return _answer_of_owner(
+                self._owner.handle_message(claim, claim.key)
+            )
+        response = await self._peers.request(
             holder.name, holder.address, claim, ClaimAnswer
         )
-        match asked:
+        match response:
             case Success(answer):
-                return _owned(answer)
+                return _answer_of_owner(answer)
         return None
 
     async def _rescan(self) -> None:
-        if self._clock.now() - self._scanned_at < _RESCAN_PAUSE:
+        if self._clock.now() - self._scanned_at < _MIN_RESCAN_INTERVAL:
             return
         self._scanned_at = self._clock.now()
         await self._owner.scan()
 
 
-def _owned(answer: ClaimAnswer) -> ClaimAnswer | None:
+def _answer_of_owner(answer: ClaimAnswer) -> ClaimAnswer | None:
     if answer.verdict is Verdict.NOT_OWNER:
         return None
     return answer
--- a/src/cartdale/ledger/decide.py
+++ b/src/cartdale/ledger/decide.py
@@ -1,4 +1,7 @@
-"""Decide claims: each key is granted at most once, over all owners."""
+"""Decision function of the ledger: each key is granted at most once.
+
+The guarantee holds across all successive owners of a slot.
+"""
 
 from dataclasses import replace
 from typing import assert_never
@@ -28,15 +31,15 @@
 def decide(
     state: SlotState, message: Message, now: Millis, wall: Millis
 ) -> Decision:
-    """Take one message about a slot that this instance believes to own.
+    """Apply one message to a slot that this instance believes it owns.
 
-    :param now: monotonic milliseconds, for the lease.
-    :param wall: wall milliseconds, for the age of keys.
-    :returns: the next state, and the answer to a claim.
+    :param now: monotonic time in milliseconds, compared with the lease.
+    :param wall: wall time in milliseconds, compared with key times.
+    :returns: the next state, and the answer if the message is a claim.
     """
     match message:
         case Claim():
-            return _claim(_forget(state, wall), message, now, wall)
+            return _claim(_expire(state, wall), message, now, wall)
         case Settle():
             return _settle(state, message), None
         case Release():
@@ -47,11 +50,12 @@
             assert_never(message)
 
 
-def first_horizon(wall: Millis) -> Millis:
-    """Return the horizon of a slot that had another owner before.
+def initial_cutoff(wall: Millis) -> Millis:
+    """Return the cutoff of a slot whose previous ledger is not available.
 
-    The earlier owner granted keys up to ``KEY_AHEAD_MS`` ahead of its
-    clock, and both clocks may be wrong.
+    The previous owner may have granted keys up to ``KEY_AHEAD_MS`` ahead
+    of its clock, and each of the two clocks may be off by up to
+    ``CLOCK_ERROR_MS``.
     """
     return wall + KEY_AHEAD_MS + 2 * CLOCK_ERROR_MS
 
@@ -63,21 +67,21 @@
         return state, ClaimAnswer(Verdict.NOT_OWNER)
     record = state.records_by_key.get(claim.key)
     if record is not None:
-        return state, _answer_known(state, claim, record)
-    if claim.once and claim.key_wall_ms <= state.horizon_wall_ms:
+        return state, _answer_recorded(state, claim, record)
+    if claim.once and claim.key_wall_ms <= state.unknown_until_wall_ms:
         return state, ClaimAnswer(Verdict.UNKNOWN)
     if claim.key_wall_ms > wall + KEY_AHEAD_MS:
         return state, ClaimAnswer(Verdict.KEY_AHEAD)
     return _grant(state, claim, wall)
 
 
-def _answer_known(
+def _answer_recorded(
     state: SlotState, claim: Claim, record: Record
 ) -> ClaimAnswer:
     if record.body_digest != claim.body_digest:
         return ClaimAnswer(Verdict.CONFLICT)
     if record.claim_id == claim.claim_id:
-        # The same attempt asks again because the answer was lost.
+        # The same attempt retries because the response was lost.
         return ClaimAnswer(Verdict.GRANTED, state.epoch)
     match record.phase:
         case RecordPhase.FINISHED:
@@ -129,23 +133,28 @@
     return replace(state, records_by_key=records_by_key)
 
 
-def _forget(state: SlotState, wall: Millis) -> SlotState:
+def _expire(state: SlotState, wall: Millis) -> SlotState:
     oldest_kept = wall - RETENTION_MS
-    due = len(state.records_by_key) >= SLOT_LIMIT
-    if not due and state.horizon_wall_ms >= oldest_kept - RETENTION_MS:
+    is_full = len(state.records_by_key) >= SLOT_LIMIT
+    if (
+        not is_full
+        and state.unknown_until_wall_ms >= oldest_kept - RETENTION_MS
+    ):
         return state
     kept_by_key = {
         key: record
         for key, record in state.records_by_key.items()
         if record.granted_wall_ms > oldest_kept
     }
-    horizon = max(state.horizon_wall_ms, oldest_kept + KEY_AHEAD_MS)
+    unknown_until = max(state.unknown_until_wall_ms, oldest_kept + KEY_AHEAD_MS)
     excess = max(0, len(kept_by_key) - SLOT_LIMIT + 1)
-    for key, dropped in sorted(kept_by_key.items(), key=_age_of)[:excess]:
+    for key, dropped in sorted(kept_by_key.items(), key=_granted_at)[:excess]:
         kept_by_key.pop(key)
-        horizon = max(horizon, dropped.key_wall_ms)
-    return replace(state, records_by_key=kept_by_key, horizon_wall_ms=horizon)
+        unknown_until = max(unknown_until, dropped.key_wall_ms)
+    return replace(
+        state, records_by_key=kept_by_key, unknown_until_wall_ms=unknown_until
+    )
 
 
-def _age_of(keyed: tuple[str, Record]) -> Millis:
-    return keyed[1].granted_wall_ms
+def _granted_at(keyed_record: tuple[str, Record]) -> Millis:
+    return keyed_record[1].granted_wall_ms
--- a/src/cartdale/ledger/owner.py
+++ b/src/cartdale/ledger/owner.py
@@ -1,4 +1,4 @@
-"""Own slots through a lease at the store, and answer claims for them."""
+"""Slot ownership by a lease in the store, and claims on owned slots."""
 
 import random
 from collections.abc import Callable, Iterator
@@ -11,7 +11,7 @@
 
 from cartdale.clock import SECOND_MS, Clock, Millis, as_seconds
 from cartdale.codec import decode_json, encode_json
-from cartdale.ledger.decide import decide, first_horizon
+from cartdale.ledger.decide import decide, initial_cutoff
 from cartdale.ledger.keys import slot_of
 from cartdale.ledger.types import (
     CLOCK_ERROR_MS,
@@ -39,21 +39,24 @@
 
 SLOT_PREFIX = 'cartdale/slots/'
 HANDOVER_PREFIX = 'cartdale/handover/'
-RENEW_EVERY: Millis = 5 * SECOND_MS
-SCAN_EVERY: Millis = 10 * SECOND_MS
-_JITTER = 0.3
-#: Slots acquired in one transaction; another's race costs one scan.
-_ACQUIRED_AT_ONCE = 16
-#: Ledgers left in one transaction, and the largest that is left, in bytes.
-_HANDED_AT_ONCE = 8
-_HANDOVER_LIMIT = 65536
+RENEW_INTERVAL: Millis = 5 * SECOND_MS
+SCAN_INTERVAL: Millis = 10 * SECOND_MS
+_SCAN_JITTER_SHARE = 0.3
+#: Slots acquired per transaction. If another instance wins the race for one
+#: of them, the batch waits for the next scan.
+_ACQUIRE_BATCH = 16
+#: Ledgers handed over per transaction.
+_HANDOVER_BATCH = 8
+#: Maximum size of a ledger that is handed over.
+_MAX_HANDOVER_BYTES = 65536
 
 
 @dataclass(frozen=True, slots=True)
 class SlotHolder:
-    """Name the owner of a slot, as the store holds it.
+    """Owner of a slot, as stored.
 
-    :param lease: lease of the owner, which proves a lost answer.
+    :param lease: lease of the owner; identifies an acquisition whose
+        response was lost.
     """
 
     name: str
@@ -63,10 +66,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Handover:
-    """Carry a slot's ledger from an owner that leaves to the next one.
+    """Ledger of a slot, stored by a departing owner for the next one.
 
-    The acquisition that reads it also deletes it, so that it can only come
-    from the owner just before.
+    The transaction that acquires the slot also deletes the handover, so a
+    handover always comes from the immediately preceding owner.
+
+    :param horizon_wall_ms: cutoff of the slot; see ``SlotState``.
     """
 
     horizon_wall_ms: Millis
@@ -75,11 +80,12 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnerPorts:
-    """Bundle what slot ownership uses of its instance.
+    """Dependencies of slot ownership on the instance.
 
-    :param prefers: tells whether this instance should own a slot.
-    :param leaving: tells whether this instance is leaving.
-    :param clock_error: how far its wall clock is from the others'.
+    :param prefers: returns whether this instance should own a slot.
+    :param leaving: returns whether this instance is leaving.
+    :param clock_error: returns the difference between the wall clock of
+        this instance and those of the other instances.
     """
 
     store: Store
@@ -92,7 +98,7 @@
 
 
 class SlotOwner:
-    """Hold the slots of this instance and the table of all owners."""
+    """Manages the slots of this instance and the table of all owners."""
 
     def __init__(self, ports: OwnerPorts) -> None:
         self._ports = ports
@@ -104,21 +110,21 @@
         self.holders_by_slot: dict[int, SlotHolder] = {}
 
     async def run(self) -> None:
-        """Renew the lease and look after slots, for ever."""
+        """Renew the lease and scan the slots until cancelled."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._renew_for_ever)
-            nursery.start_soon(self._scan_for_ever)
+            nursery.start_soon(self._renew_forever)
+            nursery.start_soon(self._scan_forever)
 
     def owned(self) -> tuple[int, ...]:
-        """Return the slots that are owned here."""
+        """Return the slots that this instance owns."""
         return tuple(sorted(self._slots_by_number))
 
     def handle_message(self, message: Message, key: str) -> ClaimAnswer:
-        """Take a message about a key that should be owned here."""
+        """Apply a message about a key whose slot should be owned here."""
         number = slot_of(key)
         state = self._slots_by_number.get(number)
-        trusted = self._ports.clock_error() <= CLOCK_ERROR_MS
-        if state is None or (isinstance(message, Claim) and not trusted):
+        clock_trusted = self._ports.clock_error() <= CLOCK_ERROR_MS
+        if state is None or (isinstance(message, Claim) and not clock_trusted):
             return ClaimAnswer(Verdict.NOT_OWNER)
         clock = self._ports.clock
         after, answer = decide(state, message, clock.now(), clock.wall_time())
@@ -126,38 +132,41 @@
         return answer or ClaimAnswer(Verdict.NOT_OWNER)
 
     async def scan(self) -> None:
-        """Read the table of owners and acquire what nobody owns."""
+        """Read the table of owners and acquire preferred free slots."""
         async with self._scanning:
             await self._scan()
 
     async def hand_over(self) -> None:
-        """Give up all slots, and leave their ledgers for the next owners.
+        """Give up all slots and store their ledgers for the next owners.
 
-        Nothing is granted here from the first moment on. A ledger whose
-        write fails is lost, which the next owner's horizon covers.
+        This instance stops granting claims before the first write. A
+        ledger whose write fails is lost; the cutoff of the next owner
+        covers this case.
         """
-        # A scan in between would take the slots for its own again.
+        # A concurrent scan would adopt the slots again.
         async with self._scanning:
             given_up = self._slots_by_number
             self._slots_by_number = {}
             numbers = sorted(given_up)
-            for start in range(0, len(numbers), _HANDED_AT_ONCE):
-                part = numbers[start : start + _HANDED_AT_ONCE]
-                await self._leave_ledgers([given_up[one] for one in part])
+            for start in range(0, len(numbers), _HANDOVER_BATCH):
+                batch = numbers[start : start + _HANDOVER_BATCH]
+                await self._store_handovers(
+                    [given_up[number] for number in batch]
+                )
             if self._lease:
                 await self._ports.store.revoke(self._lease)
                 self._lease = 0
 
     async def renew(self) -> None:
-        """Renew the lease; what is owned stays valid from the asking."""
+        """Renew the lease; its validity counts from the time of the request."""
         if not self._lease:
             return
         lease = self._lease
-        asked_at = self._ports.clock.now()
+        requested_at = self._ports.clock.now()
         renewed = await self._ports.store.keep_alive(lease)
         match renewed:
             case Success(ttl):
-                self._extend(asked_at + int(ttl) - LEASE_MARGIN_MS)
+                self._extend(requested_at + int(ttl) - LEASE_MARGIN_MS)
             case Failure(LeaseLost()):
                 logger.warning('slot lease lost', slots=len(self.owned()))
                 self._slots_by_number.clear()
@@ -181,22 +190,22 @@
                 self._slots_by_number.pop(number, None)
                 free.append(number)
             else:
-                self._recognise(number, entry)
+                self._recognize(number, entry)
         await self._acquire_preferred(free)
 
-    async def _leave_ledgers(self, states: list[SlotState]) -> None:
+    async def _store_handovers(self, states: list[SlotState]) -> None:
         writes: list[Write] = []
         for state in states:
-            writes.extend(_describe_handover(state))
-        # Only a slot that nobody took since may be handed over.
-        still_own = tuple(
-            Compare(slot_key(left.slot), left.epoch) for left in states
+            writes.extend(_handover_writes(state))
+        # Hand over only slots that no other instance has acquired since.
+        still_owned = tuple(
+            Compare(slot_key(owned.slot), owned.epoch) for owned in states
         )
-        await self._ports.store.transact(still_own, tuple(writes))
+        await self._ports.store.transact(still_owned, tuple(writes))
 
     async def _acquire_preferred(self, free: list[int]) -> None:
-        trusted = self._ports.clock_error() <= CLOCK_ERROR_MS
-        if self._ports.leaving() or not trusted:
+        clock_trusted = self._ports.clock_error() <= CLOCK_ERROR_MS
+        if self._ports.leaving() or not clock_trusted:
             return
         wanted = [number for number in free if self._ports.prefers(number)]
         if not wanted:
@@ -204,15 +213,17 @@
         listing = await self._ports.store.fetch(HANDOVER_PREFIX)
         if isinstance(listing, Failure):
             return
-        left_by_key = {entry.key: entry for entry in listing.unwrap().entries}
-        for start in range(0, len(wanted), _ACQUIRED_AT_ONCE):
+        handovers_by_key = {
+            entry.key: entry for entry in listing.unwrap().entries
+        }
+        for start in range(0, len(wanted), _ACQUIRE_BATCH):
             if not await self._ensure_lease():
                 return
-            part = wanted[start : start + _ACQUIRED_AT_ONCE]
-            await self._acquire(part, left_by_key)
+            batch = wanted[start : start + _ACQUIRE_BATCH]
+            await self._acquire(batch, handovers_by_key)
 
     async def _acquire(
-        self, numbers: list[int], left_by_key: dict[str, Entry]
+        self, numbers: list[int], handovers_by_key: dict[str, Entry]
     ) -> None:
         holder = SlotHolder(self._ports.name, self._ports.address, self._lease)
         raw = encode_json(holder)
@@ -220,10 +231,10 @@
         writes: list[Write] = []
         for number in numbers:
             key = slot_key(number)
-            left = left_by_key.get(handover_key(number))
-            seen = left.mod_revision if left else 0
+            handover = handovers_by_key.get(handover_key(number))
+            handover_revision = handover.mod_revision if handover else 0
             compares.append(Compare(key, 0))
-            compares.append(Compare(handover_key(number), seen))
+            compares.append(Compare(handover_key(number), handover_revision))
             writes.append(Put(key, raw, holder.lease))
             writes.append(Delete(handover_key(number)))
         outcome = await self._ports.store.transact(
@@ -233,44 +244,46 @@
             case Success(Committed(store_revision=revision)):
                 for acquired in numbers:
                     self.holders_by_slot[acquired] = holder
-                    left = left_by_key.get(handover_key(acquired))
-                    self._begin_slot(acquired, revision, left)
+                    handover = handovers_by_key.get(handover_key(acquired))
+                    self._start_slot(acquired, revision, handover)
 
-    def _recognise(self, number: int, entry: Entry) -> None:
+    def _recognize(self, number: int, entry: Entry) -> None:
         holder = self.holders_by_slot[number]
-        mine = holder.name == self._ports.name
-        if not mine or holder.lease != self._lease:
+        is_local = holder.name == self._ports.name
+        if not is_local or holder.lease != self._lease:
             self._slots_by_number.pop(number, None)
             return
         if number not in self._slots_by_number:
-            # The answer of the write that acquired it was lost.
-            self._begin_slot(number, entry.create_revision, None)
+            # The response to the transaction that acquired it was lost.
+            self._start_slot(number, entry.create_revision, None)
 
-    def _begin_slot(self, number: int, epoch: int, left: Entry | None) -> None:
+    def _start_slot(
+        self, number: int, epoch: int, handover: Entry | None
+    ) -> None:
         state = SlotState(
             slot=number,
             epoch=epoch,
-            horizon_wall_ms=first_horizon(self._ports.clock.wall_time()),
+            unknown_until_wall_ms=initial_cutoff(self._ports.clock.wall_time()),
             valid_until=self._valid_until,
         )
-        if left is not None:
-            handed = decode_json(left.value, Handover)
+        if handover is not None:
+            decoded = decode_json(handover.value, Handover)
             state = replace(
                 state,
-                horizon_wall_ms=handed.horizon_wall_ms,
-                records_by_key=handed.records_by_key,
+                unknown_until_wall_ms=decoded.horizon_wall_ms,
+                records_by_key=decoded.records_by_key,
             )
         self._slots_by_number[number] = state
 
     async def _ensure_lease(self) -> bool:
         if self._lease:
             return True
-        asked_at = self._ports.clock.now()
+        requested_at = self._ports.clock.now()
         granted = await self._ports.store.grant(LEASE_MS)
         if isinstance(granted, Failure):
             return False
         self._lease = granted.unwrap()
-        self._valid_until = asked_at + LEASE_MS - LEASE_MARGIN_MS
+        self._valid_until = requested_at + LEASE_MS - LEASE_MARGIN_MS
         return True
 
     def _extend(self, valid_until: Millis) -> None:
@@ -280,18 +293,20 @@
             after, _ = decide(state, renewed, 0, 0)
             self._slots_by_number[number] = after
 
-    async def _renew_for_ever(self) -> None:
+    async def _renew_forever(self) -> None:
         while True:
-            await trio.sleep(as_seconds(RENEW_EVERY))
+            await trio.sleep(as_seconds(RENEW_INTERVAL))
             await self.renew()
 
-    async def _scan_for_ever(self) -> None:
+    async def _scan_forever(self) -> None:
         while True:
-            await self._safe_scan()
-            factor = 1 + self._generator.uniform(-_JITTER, _JITTER)
-            await trio.sleep(as_seconds(int(SCAN_EVERY * factor)))
+            await self._scan_logging_errors()
+            factor = 1 + self._generator.uniform(
+                -_SCAN_JITTER_SHARE, _SCAN_JITTER_SHARE
+            )
+            await trio.sleep(as_seconds(int(SCAN_INTERVAL * factor)))
 
-    async def _safe_scan(self) -> None:
+    async def _scan_logging_errors(self) -> None:
         try:
             await self.scan()
         except msgspec.MsgspecError as error:
@@ -299,19 +314,19 @@
 
 
 def slot_key(number: int) -> str:
-    """Return the key that names a slot's owner."""
+    """Return the store key of the owner of a slot."""
     return f'{SLOT_PREFIX}{number:04d}'
 
 
 def handover_key(number: int) -> str:
-    """Return the key under which a slot's ledger is left."""
+    """Return the store key of the handed-over ledger of a slot."""
     return f'{HANDOVER_PREFIX}{number:04d}'
 
 
-def _describe_handover(state: SlotState) -> Iterator[Write]:
-    handed = Handover(state.horizon_wall_ms, state.records_by_key)
-    raw = encode_json(handed)
-    if len(raw) <= _HANDOVER_LIMIT:
+def _handover_writes(state: SlotState) -> Iterator[Write]:
+    handover = Handover(state.unknown_until_wall_ms, state.records_by_key)
+    raw = encode_json(handover)
+    if len(raw) <= _MAX_HANDOVER_BYTES:
         yield Put(handover_key(state.slot), raw)
     yield Delete(slot_key(state.slot))
 
--- a/src/cartdale/ledger/types.py
+++ b/src/cartdale/ledger/types.py
@@ -1,10 +1,11 @@
 """Messages, state and answers of the at-most-once ledger.
 
-Idempotency keys are divided over slots. A slot belongs to the instance
-that holds its lease at the store; its ledger lives in that instance's
-memory. A new owner does not know the keys of the one before, so it
-treats every key that could have been granted before its time as unknown:
-such keys carry their time of creation (UUID version 7).
+Idempotency keys are partitioned into slots. A slot is owned by the
+instance whose lease on it is recorded in the store; the ledger of the
+slot is kept in that instance's memory. A new owner has no record of the
+keys its predecessor granted, so it reports the outcome of every key that
+the predecessor could have granted as unknown. To make this comparison
+possible, keys carry their creation time (UUID version 7).
 """
 
 from dataclasses import dataclass, field
@@ -14,22 +15,24 @@
 
 SLOTS = 64
 LEASE_MS: Millis = 15_000
-#: The owner stops so long before its lease can lapse at the store.
+#: An owner stops granting this long before its lease can expire in the
+#: store.
 LEASE_MARGIN_MS: Millis = 3_000
-#: Largest difference assumed between an instance's clock and the truth.
+#: Maximum error assumed for an instance's wall clock.
 CLOCK_ERROR_MS: Millis = 500
-#: How far ahead of the owner's clock a key's time may be.
+#: Maximum time by which a key may be ahead of the owner's clock.
 KEY_AHEAD_MS: Millis = 1_000
-#: How long keys are remembered; older ones are answered as unknown.
+#: How long keys are kept; the outcome of older keys is unknown.
 RETENTION_MS: Millis = 10 * MINUTE_MS
-#: Largest answer that is kept for a repeated key, in bytes.
+#: Maximum size of an answer kept for repeated keys, in bytes.
 ANSWER_LIMIT = 16384
-#: Most keys remembered in one slot; the horizon moves up beyond it.
+#: Maximum number of keys kept per slot; beyond it, the oldest are dropped
+#: and the cutoff advances.
 SLOT_LIMIT = 4096
 
 
 class RecordPhase(StrEnum):
-    """Say what is known of a granted key."""
+    """State of the request behind a granted key."""
 
     GRANTED = 'granted'
     FINISHED = 'finished'
@@ -38,9 +41,9 @@
 
 @dataclass(frozen=True, slots=True)
 class KeptAnswer:
-    """Hold an answer for callers that repeat the key.
+    """Response stored for callers that repeat the key.
 
-    :param origin: sealed origin of a generation; empty for plain answers.
+    :param origin: signed origin of a generation; empty for plain answers.
     """
 
     status: int = 0
@@ -51,10 +54,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """Remember one key.
+    """Ledger entry of one key.
 
     :param claim_id: the attempt that holds the grant.
-    :param key_wall_ms: the key's own time; 0 when it carries none.
+    :param key_wall_ms: creation time in the key; 0 if it has none.
     """
 
     claim_id: str
@@ -67,27 +70,29 @@
 
 @dataclass(frozen=True, slots=True)
 class SlotState:
-    """Hold one slot that this instance owns.
-
-    :param epoch: fence; larger for every later owner.
-    :param horizon_wall_ms: keys of this time or before may have been
-        granted by someone else, or were forgotten.
-    :param valid_until: monotonic end of the lease as far as is certain.
+    """State of one slot that this instance owns.
+
+    :param epoch: fencing token; increases with each new owner.
+    :param unknown_until_wall_ms: cutoff; keys created at or before this
+        time may have been granted by a previous owner, or their records
+        were dropped.
+    :param valid_until: monotonic time until which the lease is certain to
+        be valid.
     """
 
     slot: int
     epoch: int
-    horizon_wall_ms: Millis
+    unknown_until_wall_ms: Millis
     valid_until: Millis
     records_by_key: dict[str, Record] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """Ask to run a keyed request.
+    """Requests permission to run a request with an idempotency key.
 
-    :param key: customer and idempotency key together.
-    :param once: whether the request must not run a second time.
+    :param key: customer and idempotency key, combined.
+    :param once: whether the request must run at most once.
     """
 
     key: str
@@ -99,7 +104,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settle:
-    """Report how a granted request went."""
+    """Reports the outcome of a granted request."""
 
     key: str
     claim_id: str
@@ -109,7 +114,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Release:
-    """Report that a granted request certainly did not run."""
+    """Reports that a granted request is certain not to have run."""
 
     key: str
     claim_id: str
@@ -117,7 +122,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Renewed:
-    """The lease was renewed."""
+    """Reports that the lease was renewed."""
 
     valid_until: Millis
 
@@ -126,7 +131,7 @@
 
 
 class Verdict(StrEnum):
-    """Answer a claim."""
+    """Outcome of a claim."""
 
     GRANTED = 'granted'
     RUNNING = 'running'
@@ -139,9 +144,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimAnswer:
-    """Answer a claim.
+    """Response to a claim.
 
-    :param fence: the slot's epoch, for upstreams that check it.
+    :param fence: epoch of the slot, for upstreams that verify it.
     """
 
     verdict: Verdict
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -1,4 +1,8 @@
-"""Keyed requests run at most once, over owners, pauses and lost answers."""
+"""Requests with an idempotency key run at most once.
+
+This must hold across owner changes, paused owners and lost responses. A
+second grant for the same key would execute the request twice.
+"""
 
 from dataclasses import replace
 
@@ -9,7 +13,7 @@
 
 from cartdale.exceptions import InvariantError
 from cartdale.ledger import decide as ledger
-from cartdale.ledger.decide import decide, first_horizon
+from cartdale.ledger.decide import decide, initial_cutoff
 from cartdale.ledger.keys import read_key_time
 from cartdale.ledger.types import (
     CLOCK_ERROR_MS,
@@ -50,18 +54,18 @@
     assert claim(state, make_claim(claim_id='b')).verdict is Verdict.RUNNING
 
 
-def test_the_same_attempt_may_ask_again() -> None:
+def test_the_same_attempt_may_repeat_its_claim() -> None:
     state, _ = decide(make_slot(), make_claim(), 0, EPOCH)
     assert claim(state, make_claim()).verdict is Verdict.GRANTED
 
 
-def test_another_body_is_a_conflict() -> None:
+def test_a_different_body_is_a_conflict() -> None:
     state, _ = decide(make_slot(), make_claim(), 0, EPOCH)
     other = make_claim(claim_id='b', body_digest='else')
     assert claim(state, other).verdict is Verdict.CONFLICT
 
 
-def test_a_released_key_may_run() -> None:
+def test_a_released_key_can_be_granted_again() -> None:
     state, _ = decide(make_slot(), make_claim(), 0, EPOCH)
     state, _ = decide(state, Release('k', 'a'), 0, EPOCH)
     assert claim(state, make_claim(claim_id='b')).verdict is Verdict.GRANTED
@@ -83,18 +87,18 @@
     assert answer.verdict is Verdict.NOT_OWNER
 
 
-def test_a_key_from_before_the_owner_is_unknown() -> None:
-    state = make_slot(horizon_wall_ms=first_horizon(EPOCH))
+def test_a_key_older_than_the_ownership_is_unknown() -> None:
+    state = make_slot(unknown_until_wall_ms=initial_cutoff(EPOCH))
     assert claim(state, make_claim()).verdict is Verdict.UNKNOWN
     assert claim(state, make_claim(once=False)).verdict is Verdict.GRANTED
 
 
-def test_a_key_ahead_of_the_clock_is_refused() -> None:
+def test_a_key_ahead_of_the_clock_is_rejected() -> None:
     ahead = make_claim(key_wall_ms=EPOCH + KEY_AHEAD_MS + 1)
     assert claim(make_slot(), ahead).verdict is Verdict.KEY_AHEAD
 
 
-def test_forgotten_keys_stay_unknown() -> None:
+def test_expired_keys_stay_unknown() -> None:
     state, _ = decide(make_slot(), make_claim(), 0, EPOCH)
     later = EPOCH + 3 * RETENTION_MS
     fresh = make_claim(key='other', key_wall_ms=later)
@@ -104,7 +108,7 @@
     assert claim(state, again, later).verdict is Verdict.UNKNOWN
 
 
-def test_a_full_slot_moves_its_horizon() -> None:
+def test_a_full_slot_advances_its_cutoff() -> None:
     records = {
         f'k{number}': Record('a', 'body', EPOCH + number, EPOCH + number)
         for number in range(SLOT_LIMIT)
@@ -113,7 +117,7 @@
     wall = EPOCH + SLOT_LIMIT
     state, _ = decide(state, make_claim(key_wall_ms=wall), 0, wall)
     assert len(state.records_by_key) <= SLOT_LIMIT
-    assert state.horizon_wall_ms >= EPOCH
+    assert state.unknown_until_wall_ms >= EPOCH
     dropped = make_claim(key='k0', claim_id='b', key_wall_ms=EPOCH)
     assert claim(state, dropped, wall).verdict is Verdict.UNKNOWN
 
@@ -125,10 +129,10 @@
 
 
 class Owners(RuleBasedStateMachine):
-    """Owners come, pause past their lease, and go; callers retry at any.
+    """Owners acquire the slot and pause past their lease; callers retry.
 
-    Every owner has a clock of its own within the assumed error. A key must
-    be granted to one attempt only, whoever is asked and whenever.
+    Each owner has its own clock, within the assumed error. A key must be
+    granted to a single attempt, whichever owner is asked and at any time.
     """
 
     def __init__(self) -> None:
@@ -141,7 +145,7 @@
         self.key_times: list[int] = []
 
     def choose_horizon(self, wall: int) -> int:
-        return first_horizon(wall)
+        return initial_cutoff(wall)
 
     @rule(skew=st.integers(-CLOCK_ERROR_MS, CLOCK_ERROR_MS))
     def take_over(self, skew: int) -> None:
@@ -151,7 +155,7 @@
         state = SlotState(
             slot=1,
             epoch=len(self.owners) + 1,
-            horizon_wall_ms=self.choose_horizon(self.now + skew),
+            unknown_until_wall_ms=self.choose_horizon(self.now + skew),
             valid_until=self.lease_ends - LEASE_MARGIN_MS,
         )
         self.owners.append((state, skew))
@@ -214,7 +218,7 @@
 TestOwners.settings = RUN
 
 
-def test_the_machine_notices_an_owner_without_a_horizon() -> None:
+def test_the_state_machine_detects_an_owner_without_a_cutoff() -> None:
     case = ForgetfulOwners.TestCase
     case.settings = settings(
         RUN, max_examples=400, database=None, phases=(Phase.generate,)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,8 @@
-"""A ledger that is handed over comes from the owner just before, or not."""
+"""A slot accepts a handed-over ledger only from its immediate predecessor.
+
+A ledger from an earlier owner would lack the keys granted since, so those
+requests could run a second time.
+"""
 
 from random import Random
 
@@ -41,7 +45,7 @@
     return SkewedClock().wall_time()
 
 
-async def wait_horizon() -> None:
+async def wait_past_cutoff() -> None:
     await trio.sleep(2.1)
 
 
@@ -49,11 +53,11 @@
     return len(store.state.fetch(prefix, f'{prefix}~', 0).entries)
 
 
-async def test_the_next_owner_knows_the_keys(autojump_clock) -> None:
+async def test_the_next_owner_receives_the_granted_keys(autojump_clock) -> None:
     store = make_store()
     first, second = make_owner(store, 'a'), make_owner(store, 'b')
     await first.scan()
-    await wait_horizon()
+    await wait_past_cutoff()
     assert ask(first, 'x').verdict is Verdict.GRANTED
     await first.hand_over()
     assert ask(first, 'y').verdict is Verdict.NOT_OWNER
@@ -77,7 +81,7 @@
     assert len(second.owned()) == SLOTS
 
 
-async def test_a_scan_does_not_take_back_what_is_being_handed_over(
+async def test_a_scan_does_not_reacquire_slots_during_handover(
     autojump_clock,
 ) -> None:
     store = make_store()
@@ -86,11 +90,11 @@
     gate = trio.Event()
     transact = store.transact
 
-    async def held_back(*arguments: object) -> object:
+    async def delayed_transact(*arguments: object) -> object:
         await gate.wait()
         return await transact(*arguments)
 
-    store.transact = held_back
+    store.transact = delayed_transact
     async with trio.open_nursery() as nursery:
         nursery.start_soon(owner.hand_over)
         nursery.start_soon(owner.scan)
@@ -104,7 +108,7 @@
     store = make_store()
     owners = [make_owner(store, name) for name in 'abc']
     await owners[0].scan()
-    await wait_horizon()
+    await wait_past_cutoff()
     ask(owners[0], 'x')
     await owners[0].hand_over()
     await owners[1].scan()
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -21,10 +21,10 @@
     assert run_soak(5, 100).summary() == run_soak(5, 100).summary()
 
 
-def test_the_run_notices_an_owner_without_a_horizon(
+def test_the_run_detects_an_owner_without_a_cutoff(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(owner, 'first_horizon', lambda wall: 0)
+    monkeypatch.setattr(owner, 'initial_cutoff', lambda wall: 0)
     with pytest.raises(BaseExceptionGroup) as caught:
         for seed in range(1, 6):
             run_soak(seed, SECONDS)
